--- a/crates/coursestand-coordination/src/allocator.rs
+++ b/crates/coursestand-coordination/src/allocator.rs
@@ -1,39 +1,39 @@
-//! Proposes which daemon holds how many slots on which back end, from the demand
-//! that daemons report. Pure: the leader calls it with what it knows.
+//! Proposes how many slots each daemon holds on each back end, from the demand
+//! that daemons report. Pure functions of the leader's state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use coursestand_model::bundle::Bundle;
 use coursestand_model::{BackendId, DaemonId, ServiceId, ZoneId};
 
-use crate::planner::takes_work;
+use crate::planner::accepts_new_work;
 use crate::slots::{Occupancy, SlotChange};
 use crate::state::ControlState;
 use crate::tables::{MemberPhase, SlotMap, Tables};
 
-/// Slots for which a daemon in the zone is assumed to have demand at first.
-const PRIOR_IN_ZONE: u32 = 2;
-/// Slots for which a daemon in the region is assumed to have demand at first.
-const PRIOR_IN_REGION: u32 = 1;
-/// A daemon keeps this many slots above its demand while nobody lacks them.
-const KEPT_ABOVE_DEMAND: u32 = 2;
+/// Minimum demand, in slots, assumed for a daemon in the zone of the back ends.
+const MIN_DEMAND_IN_ZONE: u32 = 2;
+/// Minimum demand, in slots, assumed for a daemon in the region of the back ends.
+const MIN_DEMAND_IN_REGION: u32 = 1;
+/// Slots above its share that a daemon may keep while no other daemon lacks slots.
+const MAX_SURPLUS: u32 = 2;
 
-/// Slots above its demand that a daemon gets at least, if any are left over.
-const MIN_SLACK: u32 = 1;
-/// One part in this many of a pool's slots stays free for new demand.
-const FREE_PART: u32 = 4;
+/// Slots of slack that a daemon with demand may get beyond as many slots as its demand.
+const EXTRA_SLACK: u32 = 1;
+/// Divisor for the part of a pool's slots that stays free for new demand.
+const RESERVE_DIVISOR: u32 = 4;
 
-/// Slots that a daemon would use, by daemon, service and zone.
+/// Slots that each daemon would use, by daemon, service and zone.
 pub type Demand = BTreeMap<(DaemonId, ServiceId, ZoneId), u32>;
 
-/// One service in one zone: the unit in which slots are shared out.
+/// The back ends of one service in one zone; slots are allocated per pool.
 struct Pool<'a> {
     service: &'a ServiceId,
     zone: &'a ZoneId,
     backends: Vec<BackendId>,
 }
 
-/// Proposes slot changes; empty when the slots fit the demand.
+/// Proposes slot changes. Empty when the allocation already fits the demand.
 pub fn plan_slots(
     state: &ControlState,
     demand: &Demand,
@@ -44,7 +44,7 @@
     };
     let tables = state.tables();
     let mut plan = Plan::new(state, bundle);
-    plan.take_from_unusable();
+    plan.revoke_from_unusable();
     for service in &bundle.services {
         for zone in bundle.zones() {
             let pool = Pool {
@@ -52,7 +52,7 @@
                 zone,
                 backends: usable_backends(tables, bundle, &service.id, zone, down),
             };
-            plan.share_out(&pool, demand);
+            plan.allocate(&pool, demand);
         }
     }
     plan.into_changes()
@@ -69,7 +69,7 @@
         .backends
         .iter()
         .filter(|(_, record)| record.service == *service && record.zone == *zone)
-        .filter(|(id, record)| !down.contains(*id) && takes_work(tables, bundle, record))
+        .filter(|(id, record)| !down.contains(*id) && accepts_new_work(tables, bundle, record))
         .map(|(id, _)| id.clone())
         .collect()
 }
@@ -108,23 +108,23 @@
         }
     }
 
-    /// Back ends that are leaving, drained or unknown give their slots back.
-    fn take_from_unusable(&mut self) {
+    /// Revokes all slots on back ends that are leaving, drained or unknown.
+    fn revoke_from_unusable(&mut self) {
         for slots in self.slots.values_mut() {
             slots.retain(|backend, _| {
                 self.tables
                     .backends
                     .get(backend)
-                    .is_some_and(|record| takes_work(self.tables, self.bundle, record))
+                    .is_some_and(|record| accepts_new_work(self.tables, self.bundle, record))
             });
         }
     }
 
-    fn share_out(&mut self, pool: &Pool<'_>, demand: &Demand) {
-        let wants: Vec<u32> = self
+    fn allocate(&mut self, pool: &Pool<'_>, demand: &Demand) {
+        let wanted: Vec<u32> = self
             .serving
             .iter()
-            .map(|daemon| self.want(pool, daemon, demand))
+            .map(|daemon| self.demand_of(pool, daemon, demand))
             .collect();
         let total: u32 = pool
             .backends
@@ -132,68 +132,76 @@
             .filter_map(|backend| self.tables.backends.get(backend))
             .map(|record| record.slots)
             .sum();
-        let fair = shares_with_slack(&wants, total);
+        let targets = shares_with_slack(&wanted, total);
         let held: Vec<u32> = self
             .serving
             .iter()
-            .map(|daemon| self.held(pool, daemon))
+            .map(|daemon| self.held_slots(pool, daemon))
             .collect();
-        let lacking = fair.iter().zip(&held).any(|(fair, held)| held < fair);
+        let is_short = targets
+            .iter()
+            .zip(&held)
+            .any(|(target, held)| held < target);
         for index in 0..self.serving.len() {
             let daemon = self.serving[index].clone();
-            let kept = if lacking {
-                fair[index]
+            let limit = if is_short {
+                targets[index]
             } else {
-                fair[index] + KEPT_ABOVE_DEMAND
+                targets[index] + MAX_SURPLUS
             };
-            for _ in kept..held[index] {
-                self.take_one(pool, &daemon);
+            for _ in limit..held[index] {
+                self.revoke_slot(pool, &daemon);
             }
         }
-        self.give(pool, &fair, &held);
+        self.grant_missing(pool, &targets, &held);
     }
 
-    /// Gives one slot at a time, in turn, so that scarce slots are spread.
-    fn give(&mut self, pool: &Pool<'_>, fair: &[u32], held: &[u32]) {
-        let mut lacking: Vec<u32> = fair
+    /// Grants one slot at a time in round-robin order, so that scarce slots are
+    /// spread over the daemons.
+    fn grant_missing(&mut self, pool: &Pool<'_>, targets: &[u32], held: &[u32]) {
+        let mut missing: Vec<u32> = targets
             .iter()
             .zip(held)
-            .map(|(fair, held)| fair.saturating_sub(*held))
+            .map(|(target, held)| target.saturating_sub(*held))
             .collect();
-        while lacking.iter().any(|count| *count > 0) {
-            for (index, count) in lacking
+        while missing.iter().any(|count| *count > 0) {
+            for (index, count) in missing
                 .iter_mut()
                 .enumerate()
                 .filter(|(_, count)| **count > 0)
             {
                 let daemon = self.serving[index].clone();
-                let given = self.give_one(pool, &daemon);
-                *count = if given { *count - 1 } else { 0 };
+                let is_granted = self.grant_slot(pool, &daemon);
+                *count = if is_granted { *count - 1 } else { 0 };
             }
         }
     }
 
-    fn want(&self, pool: &Pool<'_>, daemon: &DaemonId, demand: &Demand) -> u32 {
+    fn demand_of(&self, pool: &Pool<'_>, daemon: &DaemonId, demand: &Demand) -> u32 {
         let key = (daemon.clone(), pool.service.clone(), pool.zone.clone());
         let reported = demand.get(&key).copied().unwrap_or(0);
-        reported.max(self.prior(pool, daemon))
+        reported.max(self.min_demand(pool, daemon))
     }
 
-    fn prior(&self, pool: &Pool<'_>, daemon: &DaemonId) -> u32 {
+    fn min_demand(&self, pool: &Pool<'_>, daemon: &DaemonId) -> u32 {
         let Some(member) = self.tables.members.get(&daemon.name) else {
             return 0;
         };
         if member.zone == *pool.zone {
-            return PRIOR_IN_ZONE;
+            return MIN_DEMAND_IN_ZONE;
         }
-        let same_region = self
+        let is_same_region = self
             .bundle
             .region_of(&member.zone)
             .is_some_and(|region| region.zones.contains(pool.zone));
-        if same_region { PRIOR_IN_REGION } else { 0 }
+        if is_same_region {
+            MIN_DEMAND_IN_REGION
+        } else {
+            0
+        }
     }
 
-    fn held(&self, pool: &Pool<'_>, daemon: &DaemonId) -> u32 {
+    fn held_slots(&self, pool: &Pool<'_>, daemon: &DaemonId) -> u32 {
         let Some(slots) = self.slots.get(daemon) else {
             return 0;
         };
@@ -203,16 +211,16 @@
             .sum()
     }
 
-    /// Takes a slot from the back end on which the daemon holds most.
-    fn take_one(&mut self, pool: &Pool<'_>, daemon: &DaemonId) {
+    /// Revokes a slot on the back end on which the daemon holds the most.
+    fn revoke_slot(&mut self, pool: &Pool<'_>, daemon: &DaemonId) {
         let Some(slots) = self.slots.get_mut(daemon) else {
             return;
         };
-        let most = pool
+        let fullest = pool
             .backends
             .iter()
             .max_by_key(|backend| slots.get(*backend).copied().unwrap_or(0));
-        let Some(backend) = most else {
+        let Some(backend) = fullest else {
             return;
         };
         if let Some(count) = slots.get_mut(backend) {
@@ -223,20 +231,21 @@
         }
     }
 
-    /// Gives a slot on the back end on which the daemon holds fewest.
-    fn give_one(&mut self, pool: &Pool<'_>, daemon: &DaemonId) -> bool {
+    /// Grants a slot on the back end on which the daemon holds the fewest. Returns
+    /// whether any back end of the pool had a slot left.
+    fn grant_slot(&mut self, pool: &Pool<'_>, daemon: &DaemonId) -> bool {
         let slots = self.slots.entry(daemon.clone()).or_default();
         let choice = pool
             .backends
             .iter()
             .map(|backend| {
-                let room = self
-                    .occupancy
-                    .room(self.tables, self.bundle, daemon, backend);
-                (backend, room, slots.get(backend).copied().unwrap_or(0))
+                let remaining =
+                    self.occupancy
+                        .remaining_capacity(self.tables, self.bundle, daemon, backend);
+                (backend, remaining, slots.get(backend).copied().unwrap_or(0))
             })
-            .filter(|(_, room, _)| *room > 0)
-            .min_by_key(|(_, room, held)| (*held, std::cmp::Reverse(*room)));
+            .filter(|(_, remaining, _)| *remaining > 0)
+            .min_by_key(|(_, remaining, held)| (*held, std::cmp::Reverse(*remaining)));
         let Some((backend, _, _)) = choice else {
             return false;
         };
@@ -250,11 +259,11 @@
         let mut changes = Vec::new();
         for (daemon, next) in self.slots {
             let none = SlotMap::new();
-            let held = self.tables.slots.get(&daemon).unwrap_or(&none);
-            let backends: BTreeSet<&BackendId> = held.keys().chain(next.keys()).collect();
+            let current = self.tables.slots.get(&daemon).unwrap_or(&none);
+            let backends: BTreeSet<&BackendId> = current.keys().chain(next.keys()).collect();
             for backend in backends {
                 let count = next.get(backend).copied().unwrap_or(0);
-                if count != held.get(backend).copied().unwrap_or(0) {
+                if count != current.get(backend).copied().unwrap_or(0) {
                     changes.push(SlotChange {
                         daemon: daemon.clone(),
                         backend: backend.clone(),
@@ -267,42 +276,42 @@
     }
 }
 
-/// Fair shares of the demand, and then up to twice the demand from what is left
-/// over: a burst should not have to wait for a grant. A part stays free for
-/// daemons whose demand is new.
-pub fn shares_with_slack(wants: &[u32], total: u32) -> Vec<u32> {
-    let fair = fair_shares(wants, total);
-    let given: u32 = fair.iter().sum();
-    let reserve = total / FREE_PART;
-    let slack: Vec<u32> = wants
+/// Returns fair shares of the demand plus slack from the remaining slots, so that a burst
+/// does not wait for a grant. The slack is at most the demand plus `EXTRA_SLACK`; one part
+/// in `RESERVE_DIVISOR` of the slots stays free for daemons with new demand.
+pub fn shares_with_slack(wanted: &[u32], total: u32) -> Vec<u32> {
+    let fair = fair_shares(wanted, total);
+    let granted: u32 = fair.iter().sum();
+    let reserve = total / RESERVE_DIVISOR;
+    let wanted_slack: Vec<u32> = wanted
         .iter()
-        .map(|want| if *want > 0 { want + MIN_SLACK } else { 0 })
+        .map(|wanted| if *wanted > 0 { wanted + EXTRA_SLACK } else { 0 })
         .collect();
-    let more = fair_shares(&slack, (total - given).saturating_sub(reserve));
+    let slack = fair_shares(&wanted_slack, (total - granted).saturating_sub(reserve));
     fair.iter()
-        .zip(more)
-        .map(|(fair, more)| fair + more)
+        .zip(slack)
+        .map(|(fair, slack)| fair + slack)
         .collect()
 }
 
-/// Max-min fair shares: nobody gets more than wanted, and nobody gets less than
-/// another one unless wanting less.
-pub fn fair_shares(wants: &[u32], total: u32) -> Vec<u32> {
-    let mut shares = vec![0; wants.len()];
-    let mut left = total;
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by_key(|index| wants[*index]);
+/// Returns max-min fair shares of `total`: no share exceeds its demand, and if a share
+/// falls short of its demand, no other share is larger by more than one slot.
+pub fn fair_shares(wanted: &[u32], total: u32) -> Vec<u32> {
+    let mut shares = vec![0; wanted.len()];
+    let mut remaining = total;
+    let mut order: Vec<usize> = (0..wanted.len()).collect();
+    order.sort_by_key(|index| wanted[*index]);
     for (position, index) in order.iter().enumerate() {
-        let waiting = (order.len() - position) as u32;
-        // Rounding up for the first ones would starve the last: round down.
-        let share = wants[*index].min(left / waiting);
+        let unserved = (order.len() - position) as u32;
+        // Rounds down: rounding up for the first shares would starve the last.
+        let share = wanted[*index].min(remaining / unserved);
         shares[*index] = share;
-        left -= share;
+        remaining -= share;
     }
     for index in order {
-        let more = (wants[index] - shares[index]).min(left).min(1);
-        shares[index] += more;
-        left -= more;
+        let remainder = (wanted[index] - shares[index]).min(remaining).min(1);
+        shares[index] += remainder;
+        remaining -= remainder;
     }
     shares
 }
--- a/crates/coursestand-coordination/src/bundles.rs
+++ b/crates/coursestand-coordination/src/bundles.rs
@@ -1,6 +1,7 @@
-//! Accepted changes by operators: bundles, rolls to another version, drains.
-//! Each takes the next revision. A submit names the revision that it was made
-//! against, so that racing operators get one winner and one clear conflict.
+//! Accepted changes by operators: bundles, rolls to another revision, drains. Each
+//! accepted change gets the next revision number. A submission names the revision that
+//! it was made against, so that of two racing operators one is accepted and the other
+//! gets a conflict.
 
 use coursestand_model::SignedBundle;
 use coursestand_model::bundle::{Bundle, Signature};
@@ -10,11 +11,11 @@
 use crate::signing::SignoffPolicy;
 use crate::tables::DrainTarget;
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum OrderAction {
-    /// Puts the bundle of an earlier revision in force again, forward or back.
+    /// Puts the bundle of an earlier revision in force again; rolls back or forward.
     Roll {
         /// The earlier revision.
         revision: u64,
@@ -31,13 +32,13 @@
     },
 }
 
-/// An order that needs no new bundle.
+/// An operator's order that needs no new bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
     /// Revision against which the order was made.
     pub expected_revision: u64,
-    /// What it asks for.
+    /// The requested action.
     pub action: OrderAction,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// An order as it travels: the exact text that was signed, and the sign-offs.
+/// A signed order: the exact text that was signed, and the sign-offs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedOrder {
@@ -57,7 +58,7 @@
     pub signatures: Vec<Signature>,
 }
 
-/// What was accepted.
+/// The content of an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptedChange {
     /// A bundle.
@@ -68,7 +69,7 @@
         version: u64,
         /// SHA-256 of its content.
         content_hash: String,
-        /// The text.
+        /// JSON text of the bundle.
         content: String,
     },
     /// An order.
@@ -80,52 +81,52 @@
 pub struct Revision {
     /// Number of the revision, counted from 1.
     pub number: u64,
-    /// Names the submit, so that a resent one gets the first answer.
+    /// Identifies the submission, so that a retransmission gets the original answer.
     pub submission: String,
-    /// Who signed.
+    /// Operators that signed.
     pub operators: Vec<String>,
-    /// What was accepted.
+    /// The accepted change.
     pub change: AcceptedChange,
 }
 
-/// Answer to a submit.
+/// Answer to a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum SubmitAnswer {
-    /// Accepted as this revision, now or by an earlier submit of the same thing.
+    /// Accepted as this revision, by this submission or an earlier identical one.
     Accepted {
-        /// The revision that the change got.
+        /// Revision number of the change.
         revision: u64,
     },
-    /// Another change came first, or the version has another content.
+    /// Another change was accepted first, or the version exists with different content.
     Conflict {
         /// The current revision.
         current: u64,
-        /// What stands against it.
+        /// Reason of the conflict.
         reason: String,
     },
-    /// The change itself is not allowed.
+    /// The change is invalid or not signed as required.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
     },
 }
 
-/// The history of accepted changes and the bundle in force.
+/// The history of accepted changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BundleHistory {
     revisions: Vec<Revision>,
 }
 
-/// A checked submit, ready to be appended.
-struct Checked {
+/// A validated submission, ready to be appended.
+struct ValidatedChange {
     submission: String,
     operators: Vec<String>,
     change: AcceptedChange,
 }
 
 impl BundleHistory {
-    /// The newest revision number; 0 before the first change.
+    /// Returns the newest revision number; 0 before the first change.
     pub fn current(&self) -> u64 {
         self.revisions.last().map_or(0, |revision| revision.number)
     }
@@ -135,13 +136,13 @@
         &self.revisions
     }
 
-    /// The accepted change with this number.
+    /// Returns the accepted change with this revision number.
     pub fn revision(&self, number: u64) -> Option<&Revision> {
         let index = usize::try_from(number.checked_sub(1)?).ok()?;
         self.revisions.get(index)
     }
 
-    /// The bundle text that a revision put in force, if it did.
+    /// Returns the text of the bundle that a revision put in force, if any.
     pub fn content_of(&self, number: u64) -> Option<&str> {
         match &self.revision(number)?.change {
             AcceptedChange::Bundle { content, .. } => Some(content),
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Submits a bundle made against `expected_revision`.
+    /// Submits a bundle that was made against `expected_revision`.
     pub fn submit_bundle(
         &mut self,
         signed: &SignedBundle,
@@ -158,7 +159,7 @@
         submission: &str,
         policy: &SignoffPolicy,
     ) -> SubmitAnswer {
-        if let Some(answer) = self.resent(submission) {
+        if let Some(answer) = self.find_submission(submission) {
             return answer;
         }
         let bundle = match check_bundle(signed, policy) {
@@ -166,10 +167,10 @@
             Err(reason) => return SubmitAnswer::Refused { reason },
         };
         let content_hash = signed.content_hash();
-        if let Some(answer) = self.same_version(&bundle, &content_hash) {
+        if let Some(answer) = self.find_version(&bundle, &content_hash) {
             return answer;
         }
-        let checked = Checked {
+        let validated = ValidatedChange {
             submission: submission.to_owned(),
             operators: operators_of(&signed.signatures),
             change: AcceptedChange::Bundle {
@@ -179,7 +180,7 @@
                 content: signed.content.clone(),
             },
         };
-        self.append(checked, expected_revision)
+        self.append(validated, expected_revision)
     }
 
     /// Submits an order.
@@ -189,7 +190,7 @@
         submission: &str,
         policy: &SignoffPolicy,
     ) -> SubmitAnswer {
-        if let Some(answer) = self.resent(submission) {
+        if let Some(answer) = self.find_submission(submission) {
             return answer;
         }
         let order = match check_order(signed, policy) {
@@ -203,15 +204,15 @@
                 reason: format!("revision {revision} has no bundle to put in force"),
             };
         }
-        let checked = Checked {
+        let validated = ValidatedChange {
             submission: submission.to_owned(),
             operators: operators_of(&signed.signatures),
             change: AcceptedChange::Order(order.action),
         };
-        self.append(checked, order.expected_revision)
+        self.append(validated, order.expected_revision)
     }
 
-    fn resent(&self, submission: &str) -> Option<SubmitAnswer> {
+    fn find_submission(&self, submission: &str) -> Option<SubmitAnswer> {
         self.revisions
             .iter()
             .find(|revision| revision.submission == submission)
@@ -220,7 +221,7 @@
             })
     }
 
-    fn same_version(&self, bundle: &Bundle, hash: &str) -> Option<SubmitAnswer> {
+    fn find_version(&self, bundle: &Bundle, hash: &str) -> Option<SubmitAnswer> {
         self.revisions.iter().find_map(|revision| {
             let AcceptedChange::Bundle {
                 name,
@@ -242,29 +243,29 @@
             Some(SubmitAnswer::Conflict {
                 current: self.current(),
                 reason: format!(
-                    "{name} version {version} has another content since revision {}",
+                    "{name} version {version} has different content since revision {}",
                     revision.number
                 ),
             })
         })
     }
 
-    fn append(&mut self, checked: Checked, expected_revision: u64) -> SubmitAnswer {
+    fn append(&mut self, validated: ValidatedChange, expected_revision: u64) -> SubmitAnswer {
         let current = self.current();
         if expected_revision != current {
             return SubmitAnswer::Conflict {
                 current,
                 reason: format!(
-                    "made against revision {expected_revision}, the current one is {current}"
+                    "made against revision {expected_revision}, but the current revision is {current}"
                 ),
             };
         }
         let number = current + 1;
         self.revisions.push(Revision {
             number,
-            submission: checked.submission,
-            operators: checked.operators,
-            change: checked.change,
+            submission: validated.submission,
+            operators: validated.operators,
+            change: validated.change,
         });
         SubmitAnswer::Accepted { revision: number }
     }
--- a/crates/coursestand-coordination/src/catch_up.rs
+++ b/crates/coursestand-coordination/src/catch_up.rs
@@ -1,9 +1,9 @@
-//! Decides which of several sources a follower asks for changes that it lacks.
+//! Selects the source from which a follower requests missing changes.
 //!
-//! Each source tells the version that it has. Only one is asked at a time: what all of
-//! them send at once has to pass the same link. A source from which nothing comes for
-//! some time is not given up, since it may be the link that is slow, but the next one is
-//! asked as well, and whichever is through first counts.
+//! Each source announces its version. The follower requests from one source at a time,
+//! since parallel transfers would share the same link. When a source sends nothing for
+//! some time, its request stays open, since the link may be the slow part, but the next
+//! source is asked as well; the first complete transfer is used.
 
 use std::collections::BTreeMap;
 
@@ -11,71 +11,78 @@
 
 use crate::tables::ControlVersion;
 
-/// What the follower lacks, and whom it asked for it.
+/// The follower's version, the versions of its sources, and its open requests.
 #[derive(Clone, Debug)]
 pub struct CatchUp<Source> {
-    held: ControlVersion,
-    told: BTreeMap<Source, ControlVersion>,
-    /// When something came last from each source that is asked; the moment of asking to
-    /// begin with.
-    asked: BTreeMap<Source, Millis>,
+    version: ControlVersion,
+    available: BTreeMap<Source, ControlVersion>,
+    /// Sources with an open request, and when data last arrived from each; initially the
+    /// time of the request.
+    requested: BTreeMap<Source, Millis>,
 }
 
 impl<Source> Default for CatchUp<Source> {
     fn default() -> Self {
         CatchUp {
-            held: 0,
-            told: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            version: 0,
+            available: BTreeMap::new(),
+            requested: BTreeMap::new(),
         }
     }
 }
 
 impl<Source: Clone + Ord> CatchUp<Source> {
-    /// `source` has `version`.
-    pub fn note_told(&mut self, source: Source, version: ControlVersion) {
-        let told = self.told.entry(source).or_default();
-        *told = version.max(*told);
+    /// Records that `source` has `version`.
+    pub fn note_available(&mut self, source: Source, version: ControlVersion) {
+        let available = self.available.entry(source).or_default();
+        *available = version.max(*available);
     }
 
-    /// The follower has everything up to `version`. What it asked for by then is no
-    /// longer waited for.
-    pub fn hold(&mut self, version: ControlVersion) {
-        if version > self.held {
-            self.held = version;
-            self.asked.clear();
+    /// Records that the follower has all changes up to `version`. Closes all open
+    /// requests if the version has grown.
+    pub fn advance_version(&mut self, version: ControlVersion) {
+        if version > self.version {
+            self.version = version;
+            self.requested.clear();
         }
     }
 
-    /// Whether `source` is to be asked now; if so, it counts as asked. Others count as
-    /// silent after `patience`.
-    pub fn should_ask(&mut self, source: &Source, now: Millis, patience: Millis) -> bool {
+    /// Whether to request the missing changes from `source` now; if so, the request
+    /// counts as open. Other sources are silent if nothing arrived from them for
+    /// `silence_timeout`, in milliseconds.
+    pub fn should_request(
+        &mut self,
+        source: &Source,
+        now: Millis,
+        silence_timeout: Millis,
+    ) -> bool {
         let has_more = self
-            .told
+            .available
             .get(source)
-            .is_some_and(|version| *version > self.held);
-        let is_asked = self.asked.contains_key(source);
+            .is_some_and(|version| *version > self.version);
+        let is_requested = self.requested.contains_key(source);
         let others_are_silent = self
-            .asked
+            .requested
             .values()
-            .all(|heard_at| now.saturating_sub(*heard_at) >= patience);
-        let asks = has_more && !is_asked && others_are_silent;
-        if asks {
-            self.asked.insert(source.clone(), now);
+            .all(|received_at| now.saturating_sub(*received_at) >= silence_timeout);
+        let should_request = has_more && !is_requested && others_are_silent;
+        if should_request {
+            self.requested.insert(source.clone(), now);
         }
-        asks
+        should_request
     }
 
-    /// Something of what `source` was asked for came.
+    /// Records that requested data arrived from `source`.
     pub fn note_progress(&mut self, source: &Source, now: Millis) {
-        if let Some(heard_at) = self.asked.get_mut(source) {
-            *heard_at = now;
+        if let Some(received_at) = self.requested.get_mut(source) {
+            *received_at = now;
         }
     }
 
-    /// The connection with `source` is another one: nothing is on its way from there.
+    /// Resets the state of `source` after its connection was replaced, which lost any
+    /// data in transit.
     pub fn forget(&mut self, source: &Source) {
-        self.told.remove(source);
-        self.asked.remove(source);
+        self.available.remove(source);
+        self.requested.remove(source);
     }
 }
--- a/crates/coursestand-coordination/src/command.rs
+++ b/crates/coursestand-coordination/src/command.rs
@@ -15,9 +15,9 @@
 /// A command with the leader's clocks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedCommand {
-    /// Replicated clock in milliseconds. A leader starts it at the value that
-    /// its predecessor's last entry carried and moves it by its own monotonic
-    /// clock, so it never runs ahead of real time and leases never end early.
+    /// Replicated clock in milliseconds. A leader starts it at the value in its
+    /// predecessor's last entry and advances it by its monotonic clock, so it never
+    /// runs ahead of real time and leases never expire early.
     pub clock: Millis,
     /// Wall clock of the leader in Unix milliseconds.
     pub wall_ms: u64,
@@ -28,7 +28,7 @@
 /// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Sets who may sign; accepted once, when the control group is formed.
+    /// Sets the sign-off policy. Accepted once, when the control group is formed.
     Initialize(SignoffPolicy),
     /// Submits a bundle.
     SubmitBundle {
@@ -36,49 +36,50 @@
         bundle: SignedBundle,
         /// Revision against which it was made.
         expected_revision: u64,
-        /// Names the submit.
+        /// Identifies the submission, for deduplication.
         submission: String,
     },
     /// Submits an order.
     SubmitOrder {
         /// The order with its sign-offs.
         order: SignedOrder,
-        /// Names the submit.
+        /// Identifies the submission, for deduplication.
         submission: String,
     },
-    /// Takes over rows of the platform list.
+    /// Applies rows of the platform list.
     UpdateBackends(Vec<PlatformBackend>),
-    /// Notes that back ends are leaving: `(name and epoch)`.
+    /// Marks back ends as leaving, by name and epoch.
     MarkLeaving(Vec<BackendEpoch>),
-    /// Notes daemons that joined, are leaving or are gone.
+    /// Records daemons that joined, are leaving or are gone.
     UpdateMembers(Vec<(String, Member)>),
     /// Moves traffic between zones.
     AdvanceShares(Vec<(ShareKey, ShareVector)>),
-    /// Gives slots to daemons and takes them away.
+    /// Grants slots to daemons and revokes them.
     AdjustSlots(Vec<SlotChange>),
-    /// Notes what daemons confirmed.
+    /// Records the versions that daemons confirmed.
     Confirm {
         /// Version that every deciding daemon has reached.
         all: ControlVersion,
         /// Version that each of these daemons has reached.
         daemons: Vec<(DaemonId, ControlVersion)>,
     },
-    /// Frees the slots of daemons whose leases and requests have ended.
+    /// Frees the slots of daemons whose leases have expired and whose requests have
+    /// ended.
     ForgetDaemons(Vec<DaemonId>),
     /// A command for the once ledger.
     Once(OnceCommand),
-    /// Changes items of the catalog.
+    /// Changes catalog items.
     PatchCatalog(Patch),
-    /// Evacuates a zone, or takes that back.
+    /// Evacuates a zone, or ends the evacuation.
     Evacuate {
         /// The zone.
         zone: ZoneId,
-        /// Whether nothing may be sent to its back ends.
+        /// Whether requests to its back ends are forbidden.
         is_active: bool,
     },
 }
 
-/// One start of a back end.
+/// One start of a back end, identified by its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BackendEpoch {
     /// Name of the back end.
@@ -92,9 +93,9 @@
 pub enum CommandAnswer {
     /// Applied.
     Done,
-    /// Refused, and nothing changed.
+    /// Refused with this reason; the state is unchanged.
     Refused(String),
-    /// Answer to a submit.
+    /// Answer to a submission.
     Submit(SubmitAnswer),
     /// Answer to a claim.
     Claim(ClaimAnswer),
--- a/crates/coursestand-coordination/src/followers.rs
+++ b/crates/coursestand-coordination/src/followers.rs
@@ -1,10 +1,10 @@
 //! Leases of the daemons that follow one source of control state.
 //!
-//! A follower decides only while its lease runs. It counts the lease from before
-//! its request was sent, the source from after it answered: the source's view
-//! always ends later, given clocks that differ in rate by less than
-//! [`CLOCK_DRIFT`]. So when the source sees a lease as ended, the follower has
-//! stopped deciding.
+//! A follower makes routing decisions only while its lease runs. It counts the lease
+//! from before it sent its request, the source from after it answered. The lease
+//! therefore expires later at the source, as long as the rates of the two clocks
+//! differ by less than one part in [`CLOCK_DRIFT_DIVISOR`]: when the source regards
+//! a lease as expired, the follower has stopped deciding.
 
 use std::collections::BTreeMap;
 
@@ -13,16 +13,17 @@
 
 use crate::tables::ControlVersion;
 
-/// Length of a follower's lease.
+/// Duration of a follower's lease.
 pub const LEASE_MS: Millis = 4_000;
-/// Longest time that a source holds a request for news.
-pub const HOLD_MS: Millis = 1_000;
-/// One part in this many is the most by which two clocks differ in rate.
-pub const CLOCK_DRIFT: Millis = 100;
+/// Longest time that a source defers its answer to a follow request (long poll).
+pub const MAX_POLL_WAIT_MS: Millis = 1_000;
+/// The rates of two clocks differ by at most one part in this many.
+pub const CLOCK_DRIFT_DIVISOR: Millis = 100;
 
-/// Time until a follower stops deciding, counted from before its request.
+/// Returns the time until a follower stops deciding, counted from before its request
+/// was sent.
 pub const fn follower_lease_ms() -> Millis {
-    LEASE_MS - LEASE_MS / CLOCK_DRIFT
+    LEASE_MS - LEASE_MS / CLOCK_DRIFT_DIVISOR
 }
 
 #[derive(Clone, Debug)]
@@ -32,34 +33,35 @@
     settled: ControlVersion,
 }
 
-/// What a follower says of itself when it asks for news.
+/// State that a follower reports with each follow request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Version that it decides on; 0 when it decides on nothing yet.
+    /// Version that its decisions use; 0 while it makes none.
     pub applied: ControlVersion,
     /// Newest version for which its requests in flight are within the slots
-    /// that it holds; 0 when it decides on nothing yet.
+    /// that it holds; 0 while it makes no decisions.
     pub settled: ControlVersion,
 }
 
-/// Followers of one source, with their leases and what they confirmed.
+/// Followers of one source, with their leases and the versions that they confirmed.
 #[derive(Clone, Debug)]
 pub struct FollowerRegistry {
     followers: BTreeMap<DaemonId, Follower>,
-    since: Millis,
+    started_at: Millis,
 }
 
 impl FollowerRegistry {
-    /// Starts at `now` without knowing which leases an earlier source granted.
+    /// Creates an empty registry at `now`. Leases that an earlier source granted may
+    /// still run.
     pub fn new(now: Millis) -> FollowerRegistry {
         FollowerRegistry {
             followers: BTreeMap::new(),
-            since: now,
+            started_at: now,
         }
     }
 
-    /// Grants a lease with an answer that carries `answered`. A follower that
-    /// decides on nothing yet can't decide on anything older than the answer.
+    /// Grants a lease with an answer of version `answered`. A follower that makes no
+    /// decisions yet can't later decide on a version older than the answer.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -80,8 +82,8 @@
         entry.settled = entry.settled.max(settled);
     }
 
-    /// Notes what a follower says when it asks, before it is answered; its lease
-    /// stays as it is. Returns whether this source has granted it one.
+    /// Records the progress that a follower reports in a request, before the answer; does
+    /// not extend the lease. Returns whether this source has granted it a lease.
     pub fn note_progress(&mut self, follower: &DaemonId, progress: Progress) -> bool {
         let Some(entry) = self.followers.get_mut(follower) else {
             return false;
@@ -91,20 +93,20 @@
         true
     }
 
-    /// Ends the lease of a follower that said it has stopped.
-    pub fn end(&mut self, follower: &DaemonId) {
+    /// Ends the lease of a follower that reported that it has stopped.
+    pub fn end_lease(&mut self, follower: &DaemonId) {
         self.followers.remove(follower);
     }
 
-    /// Whether every lease of an earlier source has ended.
-    pub fn knows_all(&self, now: Millis) -> bool {
-        now >= self.since + LEASE_MS
+    /// Whether every lease of an earlier source has expired.
+    pub fn have_earlier_leases_ended(&self, now: Millis) -> bool {
+        now >= self.started_at + LEASE_MS
     }
 
-    /// The version that every deciding follower has reached, or `None` while
+    /// Returns the version that every deciding follower has reached, or `None` while
     /// leases of an earlier source may run.
     pub fn confirmed_by_all(&self, now: Millis, current: ControlVersion) -> Option<ControlVersion> {
-        if !self.knows_all(now) {
+        if !self.have_earlier_leases_ended(now) {
             return None;
         }
         let slowest = self
@@ -116,9 +118,9 @@
         Some(slowest.unwrap_or(current))
     }
 
-    /// The version for which one follower's requests in flight are within the
-    /// slots that it holds.
-    pub fn settled_by(&self, follower: &DaemonId) -> Option<ControlVersion> {
+    /// Returns the newest version for which the follower's requests in flight are within
+    /// the slots that it holds.
+    pub fn settled_version(&self, follower: &DaemonId) -> Option<ControlVersion> {
         self.followers.get(follower).map(|entry| entry.settled)
     }
 
@@ -126,26 +128,26 @@
     pub fn may_decide(&self, now: Millis, follower: &DaemonId) -> bool {
         match self.followers.get(follower) {
             Some(entry) => entry.lease_until > now,
-            None => !self.knows_all(now),
+            None => !self.have_earlier_leases_ended(now),
         }
     }
 
-    /// Whether the follower's lease ended at least `grace` ago, so that requests
-    /// which it dispatched have ended too.
-    pub fn is_over(&self, now: Millis, follower: &DaemonId, grace: Millis) -> bool {
+    /// Whether the follower's lease expired at least `grace` ago, so that the requests
+    /// it dispatched have ended too.
+    pub fn has_lease_expired(&self, now: Millis, follower: &DaemonId, grace: Millis) -> bool {
         match self.followers.get(follower) {
             Some(entry) => entry.lease_until + grace <= now,
-            None => self.since + LEASE_MS + grace <= now,
+            None => self.started_at + LEASE_MS + grace <= now,
         }
     }
 
-    /// Drops followers whose leases ended at least `grace` ago.
-    pub fn forget_ended(&mut self, now: Millis, grace: Millis) {
+    /// Removes followers whose leases expired at least `grace` ago.
+    pub fn remove_expired(&mut self, now: Millis, grace: Millis) {
         self.followers
             .retain(|_, entry| entry.lease_until + grace > now);
     }
 
-    /// Followers with a lease, and the version that each has reached.
+    /// Returns the followers with a running lease and the version that each has reached.
     pub fn leased(&self, now: Millis) -> Vec<(DaemonId, ControlVersion)> {
         self.followers
             .iter()
--- a/crates/coursestand-coordination/src/freshness.rs
+++ b/crates/coursestand-coordination/src/freshness.rs
@@ -1,11 +1,11 @@
-//! Proves how new a follower's copy of the replicated state is.
+//! Proves how fresh a follower's copy of the replicated state is.
 //!
 //! A change is acknowledged only once it is in the logs of a quorum of the replicas,
-//! and an entry that a quorum holds never leaves a log again. So when each replica of
-//! a quorum, asked at some moment or later, says that its log ends at or below an
-//! index that the copy covers, the copy holds every change that was acknowledged
-//! before that moment. This is a quorum read without the leader: it holds while the
-//! group has none, and costs one number in answers that are sent anyway.
+//! and an entry in the logs of a quorum is never removed from them. If each replica of
+//! a quorum, asked at some time or later, reports that its log ends at or below an
+//! index that the copy covers, then the copy contains every change that was
+//! acknowledged before that time. This is a quorum read without the leader: it works
+//! while the group has no leader, and costs one number in answers that are sent anyway.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,36 +13,36 @@
 
 use crate::tables::ControlVersion;
 
-/// Answers of one replica that are kept: while the log grows, the newest one tells of
-/// entries that the copy does not cover yet, and an earlier one may prove something.
-const MOST_ANSWERS: usize = 8;
+/// Answers kept per replica. While the log grows, the newest answer reports entries that
+/// the copy does not cover yet, but an earlier answer may already prove freshness.
+const MAX_ANSWERS_PER_REPLICA: usize = 8;
 
-/// Versions that are awaited at once: one for each change that is told while a large one
-/// is on its way.
-const MOST_AWAITED: usize = 64;
+/// Versions awaited at the same time: one for each change that is announced while a large
+/// one is in transit.
+const MAX_AWAITED_VERSIONS: usize = 64;
 
-/// What one replica said of its log.
+/// A replica's report of the end of its log.
 #[derive(Clone, Copy, Debug)]
 struct LogEnd {
-    /// When it was asked, on the follower's clock.
+    /// Time of the request, on the follower's clock.
     asked_at: Millis,
-    /// Last index of its log when it answered.
+    /// Last index of the replica's log when it answered.
     index: ControlVersion,
 }
 
-/// How new a follower's copy is, from what the replicas say of their logs.
+/// Freshness of a follower's copy, derived from the log ends that the replicas report.
 #[derive(Clone, Debug)]
 pub struct Freshness<Replica> {
     members: BTreeSet<Replica>,
-    /// Log index of the change that made the members these.
+    /// Log index of the change that set the members.
     members_as_of: ControlVersion,
     log_ends: BTreeMap<Replica, VecDeque<LogEnd>>,
-    /// All changes up to this index are in the copy.
+    /// The copy contains all changes up to this index.
     covered: ControlVersion,
-    /// Version of the followed part of the state that the copy has.
-    held: ControlVersion,
-    /// Versions that the copy did not have when a replica told them, and the index up to
-    /// which each is the newest.
+    /// Version of the followed part of the state in the copy.
+    version: ControlVersion,
+    /// Versions that the copy lacked when a replica reported them, and the highest index
+    /// up to which each is the newest.
     awaited: BTreeMap<ControlVersion, ControlVersion>,
     proven_at: Option<Millis>,
 }
@@ -54,7 +54,7 @@
             members_as_of: 0,
             log_ends: BTreeMap::new(),
             covered: 0,
-            held: 0,
+            version: 0,
             awaited: BTreeMap::new(),
             proven_at: None,
         }
@@ -62,17 +62,17 @@
 }
 
 impl<Replica: Clone + Ord> Freshness<Replica> {
-    /// The members of the group, made so by the change at `as_of`. A list that is older
-    /// than the one held changes nothing. Returns whether it was taken.
+    /// Sets the members of the group as of the change at index `as_of`. Ignores an empty
+    /// list and one older than the current list. Returns whether the list was accepted.
     pub fn set_members(&mut self, members: BTreeSet<Replica>, as_of: ControlVersion) -> bool {
         if members.is_empty() || as_of < self.members_as_of {
             return false;
         }
-        let is_other = members != self.members;
+        let has_changed = members != self.members;
         self.members = members;
         self.members_as_of = as_of;
-        if is_other {
-            // What an older list proved may rest on replicas that had left the group.
+        if has_changed {
+            // The earlier proof may rely on replicas that have left the group.
             self.proven_at = None;
             self.prove();
         }
@@ -84,55 +84,56 @@
         &self.members
     }
 
-    /// A replica that has applied all up to `index` has the followed part of the state at
-    /// `version`: a copy at that version or a later one holds all changes up to there.
+    /// Records that a replica which has applied the log up to `index` has the followed part
+    /// of the state at `version`: a copy at that version or a later one contains all changes
+    /// up to `index`.
     pub fn note_applied(&mut self, version: ControlVersion, index: ControlVersion) {
-        if version <= self.held {
-            self.cover(index);
+        if version <= self.version {
+            self.advance_covered_index(index);
             return;
         }
         let awaited = self.awaited.entry(version).or_default();
         *awaited = index.max(*awaited);
-        if self.awaited.len() > MOST_AWAITED {
+        if self.awaited.len() > MAX_AWAITED_VERSIONS {
             self.awaited.pop_first();
         }
     }
 
-    /// The copy is at `version`, with all changes up to it.
-    pub fn hold(&mut self, version: ControlVersion) {
-        if version <= self.held {
+    /// Records that the copy contains all changes up to `version`.
+    pub fn advance_version(&mut self, version: ControlVersion) {
+        if version <= self.version {
             return;
         }
-        self.held = version;
+        self.version = version;
         let later = self.awaited.split_off(&(version + 1));
         let reached = std::mem::replace(&mut self.awaited, later);
         if let Some(index) = reached.into_values().max() {
-            self.cover(index);
+            self.advance_covered_index(index);
         }
     }
 
-    /// The copy holds all changes up to `index`.
-    pub fn cover(&mut self, index: ControlVersion) {
+    /// Records that the copy contains all changes up to the log index `index`.
+    pub fn advance_covered_index(&mut self, index: ControlVersion) {
         self.covered = self.covered.max(index);
         self.prove();
     }
 
-    /// `replica` was asked at `asked_at` and answered that its log ends at `index`.
+    /// Records that `replica`, asked at `asked_at`, reported that its log ends at `index`.
     pub fn note_log_end(&mut self, replica: Replica, asked_at: Millis, index: ControlVersion) {
         let answers = self.log_ends.entry(replica).or_default();
         answers.push_back(LogEnd { asked_at, index });
-        if answers.len() > MOST_ANSWERS {
+        if answers.len() > MAX_ANSWERS_PER_REPLICA {
             answers.pop_front();
         }
         self.prove();
     }
 
-    /// The latest moment before which every acknowledged change is in the copy.
+    /// Returns the latest time before which every acknowledged change is in the copy.
     pub fn proven_at(&self) -> Option<Millis> {
         self.proven_at
     }
 
-    /// Replicas that make a quorum of the members.
+    /// Returns the number of members that form a quorum.
     pub fn quorum(&self) -> usize {
         self.members.len() / 2 + 1
     }
@@ -152,7 +153,7 @@
             .filter(|(replica, _)| self.members.contains(replica))
             .filter_map(|(_, answers)| self.newest_covered(answers))
             .collect();
-        // The newest first: the last one of a quorum bounds the moment.
+        // Newest first: the oldest request of the freshest quorum bounds the proof.
         asked_at.sort_unstable_by(|left, right| right.cmp(left));
         let proven = asked_at.get(self.quorum() - 1).copied();
         self.proven_at = self.proven_at.max(proven);
--- a/crates/coursestand-coordination/src/lib.rs
+++ b/crates/coursestand-coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! Coordination parts of coursestand, free of I/O: the replicated control state
-//! with its bundles, shift ledger, slot leases and once ledger; the registry of
-//! follower leases; and the planners that propose the next change.
+//! Coordination logic without I/O: the replicated control state with its bundles,
+//! shift ledger, slot leases and once ledger; the registry of follower leases; and
+//! the planners that propose the next change.
 //!
-//! Time and messages are arguments, so that the same code runs in the daemon and
-//! under a seeded simulator.
+//! Time and messages are passed as arguments, so that the same code runs in the
+//! daemon and under a seeded simulator.
 
 pub mod allocator;
 pub mod bundles;
--- a/crates/coursestand-coordination/src/once.rs
+++ b/crates/coursestand-coordination/src/once.rs
@@ -1,10 +1,10 @@
-//! The once ledger: an idempotency key is claimed here before the request is
-//! dispatched, and a claim is granted to one dispatch only, ever.
+//! The once ledger: an idempotency key is claimed before its request is dispatched, and
+//! only one dispatch is ever granted the claim.
 //!
-//! A key carries its time of issue. Keys older than the retention are refused,
-//! and the records of exactly those keys are dropped, so a forgotten key can
-//! never run again. The wall clock of the ledger is the highest one that any
-//! command carried: it never falls.
+//! A key carries its time of issue. Keys older than the retention are refused, and
+//! records are dropped for exactly those keys, so a request whose record was dropped
+//! can't run again. The wall clock of the ledger is the highest one in any command: it
+//! never goes back.
 
 use std::collections::BTreeMap;
 
@@ -14,22 +14,23 @@
 
 /// Longest idempotency key in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Longest answer that is kept for callers who send a request again, in bytes.
+/// Longest answer body that is recorded for retransmitted requests, in bytes.
 pub const MAX_RECORDED_BYTES: usize = 4096;
 
-/// A caller's key for a request that runs at most once.
+/// A caller's idempotency key for a request that runs at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OnceKey {
     /// Time of issue in Unix milliseconds.
     pub issued_ms: u64,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceId,
-    /// The caller's unique text.
+    /// Unique text chosen by the caller.
     pub unique: String,
 }
 
 impl OnceKey {
-    /// Reads `<issued Unix milliseconds>-<unique text>`.
+    /// Parses `<issued Unix milliseconds>-<unique text>`. Returns `None` if the text is
+    /// malformed or longer than [`MAX_KEY_BYTES`].
     pub fn parse(service: &ServiceId, text: &str) -> Option<OnceKey> {
         if text.len() > MAX_KEY_BYTES {
             return None;
@@ -46,12 +47,12 @@
     }
 }
 
-/// Names one attempt to claim a key.
+/// Identifies one attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Daemon that would dispatch.
+    /// Daemon that would dispatch the request.
     pub daemon: DaemonId,
-    /// Grows with each attempt of that daemon.
+    /// Sequence number of the attempt, increasing per daemon.
     pub sequence: u64,
 }
 
@@ -64,7 +65,7 @@
     pub body: Option<Vec<u8>>,
 }
 
-/// What a daemon asks of the ledger.
+/// A daemon's command to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnceCommand {
     /// Claims a key before dispatch.
@@ -83,7 +84,7 @@
         /// Its answer.
         answer: RecordedAnswer,
     },
-    /// Gives up a claim that was never dispatched.
+    /// Abandons a claim whose request was not dispatched.
     Release {
         /// The key.
         key: OnceKey,
@@ -94,11 +95,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum ClaimRecord {
-    /// Dispatched or about to be.
+    /// The request is dispatched or about to be.
     Claimed(ClaimId),
-    /// Given up before dispatch; another attempt may claim the key.
+    /// Abandoned before dispatch; another attempt may claim the key.
     Released(ClaimId),
-    /// Ran, with this answer.
+    /// The request ran, with this answer.
     Completed(RecordedAnswer),
 }
 
@@ -111,11 +112,12 @@
     Taken,
     /// The request ran, with this answer.
     Completed(RecordedAnswer),
-    /// The key is older than the retention: it may have run and been forgotten.
+    /// The key is older than the retention: its request may have run and its record been
+    /// dropped.
     TooOld,
-    /// The key was issued too far in the future.
+    /// The key's time of issue is further in the future than the allowed clock skew.
     FromFuture,
-    /// This attempt was given up before.
+    /// This attempt was already abandoned.
     GivenUp,
 }
 
@@ -123,23 +125,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceLedger {
     wall_ms: u64,
-    /// Keys issued before this are refused. It never falls, so a bundle with a
-    /// longer retention can't bring back keys whose records were dropped.
+    /// Keys issued before this time are refused. Never decreases, so that a bundle with a
+    /// longer retention can't readmit keys whose records were dropped.
     floor_ms: u64,
     records: BTreeMap<OnceKey, ClaimRecord>,
 }
 
 impl OnceLedger {
-    /// Moves the ledger's wall clock forward and drops keys past the retention.
+    /// Advances the ledger's wall clock and drops records older than the retention.
     pub fn advance(&mut self, wall_ms: u64, rules: Once) {
         self.wall_ms = self.wall_ms.max(wall_ms);
         let oldest = self.wall_ms.saturating_sub(rules.retention_ms);
         self.floor_ms = self.floor_ms.max(oldest);
-        while let Some(first) = self.records.first_entry() {
-            if first.key().issued_ms >= self.floor_ms {
+        while let Some(oldest_record) = self.records.first_entry() {
+            if oldest_record.key().issued_ms >= self.floor_ms {
                 break;
             }
-            first.remove();
+            oldest_record.remove();
         }
     }
 
@@ -153,7 +155,7 @@
         }
         match self.records.get(&key) {
             Some(ClaimRecord::Completed(answer)) => ClaimAnswer::Completed(answer.clone()),
-            // A resent message of the attempt that already holds the claim.
+            // A retransmission by the attempt that already holds the claim.
             Some(ClaimRecord::Claimed(holder)) if *holder == claim => ClaimAnswer::Granted,
             Some(ClaimRecord::Claimed(_)) => ClaimAnswer::Taken,
             Some(ClaimRecord::Released(released)) if *released == claim => ClaimAnswer::GivenUp,
@@ -173,8 +175,8 @@
         }
     }
 
-    /// Gives a claim up that was never dispatched. Also remembered when the
-    /// claim itself has not arrived, so that a late claim is not granted.
+    /// Abandons a claim whose request was not dispatched. Also recorded when the claim
+    /// itself has not arrived, so that a late claim is not granted.
     pub fn release(&mut self, key: OnceKey, claim: ClaimId) {
         match self.records.get(&key) {
             Some(ClaimRecord::Claimed(holder)) if *holder == claim => {
@@ -187,17 +189,17 @@
         }
     }
 
-    /// Number of keys that are remembered.
+    /// Number of recorded keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Highest wall clock seen, in Unix milliseconds.
+    /// Highest wall clock of any command, in Unix milliseconds.
     pub fn wall_ms(&self) -> Millis {
         self.wall_ms
     }
--- a/crates/coursestand-coordination/src/planner.rs
+++ b/crates/coursestand-coordination/src/planner.rs
@@ -1,5 +1,5 @@
-//! Proposes the next step of the traffic shares towards what the policies want,
-//! within the shift caps. Pure: the leader calls it with what it knows.
+//! Proposes the next step of the traffic shares towards the targets of the policies,
+//! within the shift caps. Pure functions of the leader's state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,29 +11,29 @@
 use crate::state::ControlState;
 use crate::tables::{DrainTarget, Tables};
 
-/// Whether a back end may get new work: live and not drained.
-pub fn takes_work(tables: &Tables, bundle: &Bundle, record: &PlatformBackend) -> bool {
+/// Whether a back end may get new requests: it is live and not drained.
+pub fn accepts_new_work(tables: &Tables, bundle: &Bundle, record: &PlatformBackend) -> bool {
     if record.state != BackendState::Live {
         return false;
     }
     let region = bundle.region_of(&record.zone).map(|region| &region.id);
-    let region_drained =
+    let is_region_drained =
         region.is_some_and(|region| tables.is_drained(&DrainTarget::Region(region.clone())));
-    !region_drained
+    !is_region_drained
         && !tables.is_drained(&DrainTarget::Zone(record.zone.clone()))
         && !tables.is_drained(&DrainTarget::Backend(record.id.clone()))
 }
 
-/// Slots that can get new work, by service and zone.
+/// Slots that can serve new requests, by service and zone.
 #[derive(Debug, Default)]
 pub struct UsableSlots(BTreeMap<ServiceId, BTreeMap<ZoneId, u64>>);
 
 impl UsableSlots {
-    /// Sums the slots of back ends that take work and are not `down`.
+    /// Sums the slots of back ends that accept new requests and are not `down`.
     pub fn of(tables: &Tables, bundle: &Bundle, down: &BTreeSet<BackendId>) -> UsableSlots {
         let mut usable = UsableSlots::default();
         for (id, record) in tables.backends.iter() {
-            if down.contains(id) || !takes_work(tables, bundle, record) {
+            if down.contains(id) || !accepts_new_work(tables, bundle, record) {
                 continue;
             }
             let zones = usable.0.entry(record.service.clone()).or_default();
@@ -47,8 +47,9 @@
     }
 }
 
-/// The shares that a policy wants, or `None` when no zone has a usable slot.
-pub fn wanted_shares(
+/// Returns the target shares of a service's policy, or `None` if no zone has a usable
+/// slot.
+pub fn target_shares(
     bundle: &Bundle,
     service: &Service,
     origin: &ZoneId,
@@ -63,7 +64,7 @@
     ShareVector::in_proportion(&weights)
 }
 
-/// The zones with the lowest latency; equally near ones by their slots.
+/// Returns the zones with the lowest latency, weighted by their slots.
 fn nearest_zones(
     bundle: &Bundle,
     origin: &ZoneId,
@@ -80,27 +81,32 @@
         .collect()
 }
 
-/// The usable zones of the client's region, or of all regions when it has none.
+/// Returns the usable zones of the client's region, or of all regions if it has none.
 fn nearest_region(
     bundle: &Bundle,
     origin: &ZoneId,
     zones: &BTreeMap<ZoneId, u64>,
 ) -> BTreeMap<ZoneId, u64> {
     let region = bundle.region_of(origin);
-    let own: BTreeMap<ZoneId, u64> = zones
+    let in_region: BTreeMap<ZoneId, u64> = zones
         .iter()
         .filter(|(zone, _)| region.is_some_and(|region| region.zones.contains(zone)))
         .map(|(zone, slots)| (zone.clone(), *slots))
         .collect();
-    if own.is_empty() { zones.clone() } else { own }
+    if in_region.is_empty() {
+        zones.clone()
+    } else {
+        in_region
+    }
 }
 
-/// The fixed weights of usable zones; all usable zones when none has a weight.
+/// Returns the fixed weights of the usable zones, or the slots of all usable zones if
+/// none has a weight.
 fn weighted_zones(
     weights: &BTreeMap<ZoneId, u32>,
     zones: &BTreeMap<ZoneId, u64>,
 ) -> BTreeMap<ZoneId, u64> {
-    let named: BTreeMap<ZoneId, u64> = zones
+    let weighted: BTreeMap<ZoneId, u64> = zones
         .keys()
         .map(|zone| {
             (
@@ -110,16 +116,16 @@
         })
         .filter(|(_, weight)| *weight > 0)
         .collect();
-    if named.is_empty() {
+    if weighted.is_empty() {
         zones.clone()
     } else {
-        named
+        weighted
     }
 }
 
-/// The next steps towards what the policies want, each within its shift cap, for
-/// a command that would be stamped with the replicated clock `clock`. The clock of
-/// `state` is that of its last command and stands still while nothing is committed.
+/// Returns the next steps towards the target shares, each within its shift cap, for a
+/// command that would be stamped with the replicated clock `clock`. The clock of `state`
+/// is that of its last command and does not advance while nothing is committed.
 pub fn plan_steps(
     state: &ControlState,
     down: &BTreeSet<BackendId>,
@@ -132,7 +138,7 @@
     let mut steps = Vec::new();
     for service in &bundle.services {
         for origin in bundle.zones() {
-            let Some(target) = wanted_shares(bundle, service, origin, &usable) else {
+            let Some(target) = target_shares(bundle, service, origin, &usable) else {
                 continue;
             };
             let key = ShareKey {
@@ -154,10 +160,10 @@
     target: ShareVector,
     clock: Millis,
 ) -> Option<ShareVector> {
-    let Some(held) = state.tables().shares.get(key) else {
+    let Some(current) = state.tables().shares.get(key) else {
         return Some(target);
     };
     let budget = state.shift_ledger().budget(key, service.shift_cap, clock);
-    let next = held.step_towards(&target, budget);
-    (next != *held).then_some(next)
+    let next = current.step_towards(&target, budget);
+    (next != *current).then_some(next)
 }
--- a/crates/coursestand-coordination/src/shares.rs
+++ b/crates/coursestand-coordination/src/shares.rs
@@ -1,5 +1,5 @@
-//! Shares of traffic: which part of a service's requests from one client zone
-//! goes to each zone.
+//! Traffic shares: the part of a service's requests from one client zone that each
+//! zone serves.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
 /// Traffic of one service from the clients of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShareKey {
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceId,
     /// Zone of the clients.
     pub origin: ZoneId,
 }
 
-/// Shares by zone in basis points, summing to [`FULL_SHARE`]. Zones without a
-/// share are not named.
+/// Shares by zone in basis points, summing to [`FULL_SHARE`]. Zones without a share
+/// are absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareVector(pub BTreeMap<ZoneId, u32>);
 
 impl ShareVector {
-    /// All traffic to one zone.
+    /// Sends all traffic to one zone.
     pub fn all_to(zone: &ZoneId) -> ShareVector {
         ShareVector(BTreeMap::from([(zone.clone(), FULL_SHARE)]))
     }
 
-    /// Shares in proportion to weights, or `None` when all weights are zero.
-    /// Rounding remainders go to the largest fractions, so the sum is exact.
+    /// Returns shares in proportion to `weights`, or `None` if all weights are zero.
+    /// Uses the largest-remainder method, so the sum is exact.
     pub fn in_proportion(weights: &BTreeMap<ZoneId, u64>) -> Option<ShareVector> {
         let total: u64 = weights.values().sum();
         if total == 0 {
@@ -54,7 +54,7 @@
         Some(ShareVector(shares))
     }
 
-    /// The share of `zone`.
+    /// Returns the share of `zone` in basis points.
     pub fn of(&self, zone: &ZoneId) -> u32 {
         self.0.get(zone).copied().unwrap_or(0)
     }
@@ -64,7 +64,8 @@
         self.0.values().sum::<u32>() == FULL_SHARE
     }
 
-    /// Traffic that moves to other zones when `next` replaces these shares.
+    /// Returns the basis points that move to other zones when `next` replaces these
+    /// shares.
     pub fn moved_to(&self, next: &ShareVector) -> u32 {
         next.0
             .iter()
@@ -72,7 +73,7 @@
             .sum()
     }
 
-    /// The furthest vector on the way to `target` that moves at most `budget`.
+    /// Returns the shares closest to `target` that move at most `budget` basis points.
     pub fn step_towards(&self, target: &ShareVector, budget: u32) -> ShareVector {
         if self.moved_to(target) <= budget {
             return target.clone();
--- a/crates/coursestand-coordination/src/shift_ledger.rs
+++ b/crates/coursestand-coordination/src/shift_ledger.rs
@@ -1,12 +1,12 @@
-//! The shift ledger: what moved between zones, and when it stops counting.
+//! The shift ledger: traffic shares that moved between zones, and until when each move
+//! counts against the shift cap.
 //!
 //! **Definition.** The moved quantity is the share, in basis points, of the
-//! requests of one service from one client zone that is assigned to another zone
-//! than before. A move counts against the cap from the moment it is committed
-//! until one window after every deciding daemon has confirmed it: the traffic
-//! moves at an unknown point between the two, so both ends are covered. The
-//! ledger is part of the replicated state, so leader changes, rollouts and
-//! rollbacks keep it.
+//! requests of one service from one client zone that is assigned to a different zone.
+//! A move counts against the cap from its commit until one window after every
+//! deciding daemon has confirmed it: the traffic moves at an unknown point between
+//! commit and confirmation, so both are covered. The ledger is part of the replicated
+//! state and survives leader changes, rollouts and rollbacks.
 
 use std::collections::BTreeMap;
 
@@ -32,19 +32,19 @@
 }
 
 impl ShiftLedger {
-    /// Basis points that may still move now. Zero while a move is unconfirmed:
-    /// two neighbouring steps are the most that ever mix.
+    /// Returns the basis points that may still move at `clock`. Zero while a move is
+    /// unconfirmed, so that daemons use at most two consecutive sets of shares at a time.
     pub fn budget(&self, key: &ShareKey, cap: ShiftCap, clock: Millis) -> u32 {
         let Some(moves) = self.moves.get(key) else {
             return cap.share_bp;
         };
-        if moves.iter().any(|one| one.confirmed_at.is_none()) {
+        if moves.iter().any(|shift| shift.confirmed_at.is_none()) {
             return 0;
         }
         let spent: u32 = moves
             .iter()
-            .filter(|one| one.counts(cap.window_ms, clock))
-            .map(|one| one.amount_bp)
+            .filter(|shift| shift.counts(cap.window_ms, clock))
+            .map(|shift| shift.amount_bp)
             .sum();
         cap.share_bp.saturating_sub(spent)
     }
@@ -58,33 +58,33 @@
         });
     }
 
-    /// Notes that every daemon decides on `version` or a later one.
+    /// Records that every daemon decides on `version` or a later one.
     pub fn confirm(&mut self, version: ControlVersion, clock: Millis) {
         let unconfirmed = self
             .moves
             .values_mut()
             .flatten()
-            .filter(|one| one.confirmed_at.is_none() && one.version <= version);
-        for one in unconfirmed {
-            one.confirmed_at = Some(clock);
+            .filter(|shift| shift.confirmed_at.is_none() && shift.version <= version);
+        for shift in unconfirmed {
+            shift.confirmed_at = Some(clock);
         }
     }
 
-    /// The oldest version that waits for confirmation.
+    /// Returns the oldest version with an unconfirmed move.
     pub fn oldest_unconfirmed(&self) -> Option<ControlVersion> {
         self.moves
             .values()
             .flatten()
-            .filter(|one| one.confirmed_at.is_none())
-            .map(|one| one.version)
+            .filter(|shift| shift.confirmed_at.is_none())
+            .map(|shift| shift.version)
             .min()
     }
 
-    /// Drops moves that are older than the longest window any bundle may state,
-    /// so that a later bundle with a longer window still sees what it covers.
-    pub fn forget_before(&mut self, longest_window_ms: Millis, clock: Millis) {
+    /// Drops moves that are older than the longest window that any bundle may set, so
+    /// that a later bundle with a longer window still finds every move in it.
+    pub fn drop_expired(&mut self, longest_window_ms: Millis, clock: Millis) {
         for moves in self.moves.values_mut() {
-            moves.retain(|one| one.counts(longest_window_ms, clock));
+            moves.retain(|shift| shift.counts(longest_window_ms, clock));
         }
         self.moves.retain(|_, moves| !moves.is_empty());
     }
--- a/crates/coursestand-coordination/src/signing.rs
+++ b/crates/coursestand-coordination/src/signing.rs
@@ -13,58 +13,59 @@
     /// A key or signature is not hexadecimal text of the right length.
     #[snafu(display("{what} of operator {operator} is not hexadecimal text"))]
     NotHexadecimal {
-        /// What was read.
+        /// The value that was read: a key or a signature.
         what: &'static str,
-        /// Whose it is.
+        /// Operator whose key or signature it is.
         operator: String,
         /// Cause.
         source: hex::FromHexError,
     },
-    /// The operator has no key here.
+    /// The operator is not in the sign-off policy.
     #[snafu(display("operator {operator} is not allowed to sign"))]
     UnknownOperator {
-        /// Who signed.
+        /// Operator that signed.
         operator: String,
     },
-    /// The signature is not one of the content.
-    #[snafu(display("the signature of operator {operator} does not fit the content"))]
+    /// The signature does not match the content.
+    #[snafu(display("the signature of operator {operator} does not match the content"))]
     WrongSignature {
-        /// Who signed.
+        /// Operator that signed.
         operator: String,
         /// Cause.
         source: ed25519_dalek::SignatureError,
     },
-    /// Too few different operators signed.
+    /// Fewer distinct operators signed than required.
     #[snafu(display("{found} operators signed, {required} are required"))]
     TooFew {
-        /// Different operators that signed.
+        /// Distinct operators that signed.
         found: usize,
-        /// How many are required.
+        /// Distinct operators required.
         required: usize,
     },
 }
 
-/// Who may sign, and how many sign-offs are required.
+/// Operators that may sign, and the number of sign-offs required.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignoffPolicy {
     /// Ed25519 public keys as hexadecimal text, by operator.
     pub operators: BTreeMap<String, String>,
-    /// Different operators that have to sign.
+    /// Distinct operators that must sign.
     pub required: usize,
 }
 
 impl SignoffPolicy {
-    /// Checks that enough allowed operators signed `content`.
+    /// Checks that every signature is valid for `content` and from an allowed operator,
+    /// and that enough distinct operators signed.
     pub fn check(&self, content: &[u8], signatures: &[Signature]) -> Result<(), SigningError> {
-        let mut signed = BTreeSet::new();
+        let mut signers = BTreeSet::new();
         for signature in signatures {
-            self.check_one(content, signature)?;
-            signed.insert(signature.operator.as_str());
+            self.check_signature(content, signature)?;
+            signers.insert(signature.operator.as_str());
         }
-        if signed.len() < self.required {
+        if signers.len() < self.required {
             return TooFewSnafu {
-                found: signed.len(),
+                found: signers.len(),
                 required: self.required,
             }
             .fail();
@@ -72,7 +73,7 @@
         Ok(())
     }
 
-    fn check_one(&self, content: &[u8], signature: &Signature) -> Result<(), SigningError> {
+    fn check_signature(&self, content: &[u8], signature: &Signature) -> Result<(), SigningError> {
         let operator = &signature.operator;
         let key = self
             .operators
@@ -105,7 +106,7 @@
     }
 }
 
-/// The public key as hexadecimal text.
+/// Returns the public key as hexadecimal text.
 pub fn public_key_text(key: &SigningKey) -> String {
     hex::encode(key.verifying_key().to_bytes())
 }
--- a/crates/coursestand-coordination/src/slots.rs
+++ b/crates/coursestand-coordination/src/slots.rs
@@ -1,8 +1,8 @@
-//! Slot leases. A back end runs a fixed number of requests at the same time;
-//! each of these slots is held by at most one daemon. A slot that is taken away
-//! counts as held until the daemon confirms that it no longer uses it, or until
-//! the daemon's lease and its longest request have ended. So the sum over all
-//! daemons never exceeds what a back end, region or link carries.
+//! Slot leases. A back end runs a fixed number of concurrent requests; each of
+//! these slots is held by at most one daemon. A revoked slot counts as held until
+//! the daemon confirms that it has stopped using it, or until the daemon's lease has
+//! expired and its longest request has ended. The sum over all daemons therefore
+//! never exceeds the capacity of a back end, region or link.
 
 use std::collections::BTreeMap;
 
@@ -15,40 +15,44 @@
 /// Why a slot change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum SlotError {
-    /// The back end is not known.
+    /// The back end is unknown.
     #[snafu(display("back end {backend} is not known"))]
     UnknownBackend {
-        /// The back end named.
+        /// The back end.
         backend: BackendId,
     },
     /// The daemon is not a member.
     #[snafu(display("daemon {daemon} is not a member"))]
     UnknownDaemon {
-        /// The daemon named.
+        /// The daemon.
         daemon: DaemonId,
     },
-    /// More slots than the back end has.
-    #[snafu(display("back end {backend} has {slots} slots, {wanted} would be held"))]
+    /// The daemons would hold more slots than the back end has.
+    #[snafu(display("back end {backend} has {slots} slots, but {wanted} would be held"))]
     BackendFull {
-        /// The back end named.
+        /// The back end.
         backend: BackendId,
         /// Slots that it has.
         slots: u32,
         /// Slots that would be held.
         wanted: u32,
     },
-    /// More requests than the region carries.
-    #[snafu(display("region {region} carries {capacity} requests, {wanted} would be allowed"))]
+    /// More requests would be allowed than the capacity of the region.
+    #[snafu(display(
+        "region {region} has a capacity of {capacity} requests, but {wanted} would be allowed"
+    ))]
     RegionFull {
-        /// The region named.
+        /// The region.
         region: RegionId,
         /// Its capacity.
         capacity: u32,
         /// Requests that would be allowed.
         wanted: u32,
     },
-    /// More requests than the link carries.
-    #[snafu(display("link {from} to {to} carries {capacity} requests, {wanted} would be allowed"))]
+    /// More requests would be allowed than the capacity of the link.
+    #[snafu(display(
+        "the link from {from} to {to} has a capacity of {capacity} requests, but {wanted} would be allowed"
+    ))]
     LinkFull {
         /// Region of the daemons.
         from: RegionId,
@@ -61,16 +65,16 @@
     },
 }
 
-/// Slots that were taken away and may still be in use.
+/// Slots that were revoked and may still be in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// Daemon that held them.
     pub daemon: DaemonId,
-    /// Back end that they are on.
+    /// Back end of the slots.
     pub backend: BackendId,
-    /// How many.
+    /// Number of slots.
     pub count: u32,
-    /// Version that took them away.
+    /// Version that revoked them.
     pub version: ControlVersion,
 }
 
@@ -81,11 +85,11 @@
     pub daemon: DaemonId,
     /// The back end.
     pub backend: BackendId,
-    /// Slots held from now on.
+    /// Slots held after the change.
     pub count: u32,
 }
 
-/// Slots in use or possibly in use, summed by what limits them.
+/// Slots that are or may be in use, summed per limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
     /// By back end.
@@ -97,7 +101,7 @@
 }
 
 impl Occupancy {
-    /// Sums slots held and slots being released.
+    /// Sums the slots held and the slots being released.
     pub fn of(tables: &Tables, releases: &[Release], bundle: &Bundle) -> Occupancy {
         let mut occupancy = Occupancy::default();
         for (daemon, slots) in tables.slots.iter() {
@@ -117,7 +121,7 @@
         occupancy
     }
 
-    /// Counts `count` slots of `daemon` on `backend`.
+    /// Adds `count` slots of `daemon` on `backend`.
     pub fn add(
         &mut self,
         tables: &Tables,
@@ -136,8 +140,8 @@
         }
     }
 
-    /// Slots that `daemon` could still get on `backend` within every limit.
-    pub fn room(
+    /// Returns how many more slots `daemon` could hold on `backend` within every limit.
+    pub fn remaining_capacity(
         &self,
         tables: &Tables,
         bundle: &Bundle,
@@ -148,21 +152,22 @@
             return 0;
         };
         let used = self.backends.get(backend).copied().unwrap_or(0);
-        let mut room = record.slots.saturating_sub(used);
+        let mut remaining = record.slots.saturating_sub(used);
         let Some(to) = region_of_backend(tables, bundle, backend) else {
             return 0;
         };
         let used = self.regions.get(&to).copied().unwrap_or(0);
-        room = room.min(region_capacity(bundle, &to).saturating_sub(used));
+        remaining = remaining.min(region_capacity(bundle, &to).saturating_sub(used));
         if let Some(from) = region_of_daemon(tables, bundle, daemon) {
             let capacity = link_capacity(bundle, &from, &to);
             let used = self.links.get(&(from, to)).copied().unwrap_or(0);
-            room = room.min(capacity.saturating_sub(used));
+            remaining = remaining.min(capacity.saturating_sub(used));
         }
-        room
+        remaining
     }
 
-    /// Finds the first limit that `daemon` holding more on `backend` exceeds.
+    /// Returns an error for the first limit that the slots of `daemon` on `backend`
+    /// exceed.
     pub fn check(
         &self,
         tables: &Tables,
@@ -233,8 +238,8 @@
     bundle
         .regions
         .iter()
-        .find(|known| known.id == *region)
-        .map_or(0, |known| known.capacity)
+        .find(|candidate| candidate.id == *region)
+        .map_or(0, |found| found.capacity)
 }
 
 fn link_capacity(bundle: &Bundle, from: &RegionId, to: &RegionId) -> u32 {
@@ -245,7 +250,7 @@
         .map_or(u32::MAX, |link| link.capacity)
 }
 
-/// Applies slot changes or none of them.
+/// Applies all of the slot changes, or none and returns why.
 pub fn adjust(
     tables: &mut Tables,
     releases: &mut Vec<Release>,
@@ -255,38 +260,38 @@
 ) -> Result<(), SlotError> {
     let mut next: BTreeMap<DaemonId, SlotMap> = BTreeMap::new();
     let mut occupancy = Occupancy::of(tables, releases, bundle);
-    let mut freed = Vec::new();
+    let mut released = Vec::new();
     for change in changes {
-        let known = tables
+        let is_member = tables
             .members
             .get(&change.daemon.name)
             .is_some_and(|member| member.incarnation == change.daemon.incarnation);
-        if !known && change.count > 0 {
+        if !is_member && change.count > 0 {
             return Err(SlotError::UnknownDaemon {
                 daemon: change.daemon.clone(),
             });
         }
-        let held = next.entry(change.daemon.clone()).or_insert_with(|| {
+        let slots = next.entry(change.daemon.clone()).or_insert_with(|| {
             tables
                 .slots
                 .get(&change.daemon)
                 .cloned()
                 .unwrap_or_default()
         });
-        let before = held.remove(&change.backend).unwrap_or(0);
+        let previous = slots.remove(&change.backend).unwrap_or(0);
         if change.count > 0 {
-            held.insert(change.backend.clone(), change.count);
+            slots.insert(change.backend.clone(), change.count);
         }
-        if change.count > before {
-            let more = change.count - before;
-            occupancy.add(tables, bundle, &change.daemon, &change.backend, more);
+        if change.count > previous {
+            let added = change.count - previous;
+            occupancy.add(tables, bundle, &change.daemon, &change.backend, added);
             occupancy.check(tables, bundle, &change.daemon, &change.backend)?;
-        } else if before > change.count {
-            // The slots stay occupied until the daemon confirms this version.
-            freed.push(Release {
+        } else if previous > change.count {
+            // The slots count as occupied until the daemon confirms this version.
+            released.push(Release {
                 daemon: change.daemon.clone(),
                 backend: change.backend.clone(),
-                count: before - change.count,
+                count: previous - change.count,
                 version,
             });
         }
@@ -294,6 +299,6 @@
     for (daemon, slots) in next {
         tables.slots.set(daemon, slots, version);
     }
-    releases.extend(freed);
+    releases.extend(released);
     Ok(())
 }
--- a/crates/coursestand-coordination/src/state.rs
+++ b/crates/coursestand-coordination/src/state.rs
@@ -16,7 +16,7 @@
 use crate::slots::{self, Release, SlotChange};
 use crate::tables::{BundleInForce, ControlVersion, Member, Tables};
 
-/// Rules for idempotency keys while no bundle is in force: every key is refused.
+/// Idempotency key settings while no bundle is in force: every key is refused.
 const NO_ONCE_RULES: Once = Once {
     retention_ms: 0,
     clock_skew_ms: 0,
@@ -34,8 +34,8 @@
     releases: Vec<Release>,
     once: OnceLedger,
     catalog: Catalog,
-    /// Longest deadline of any bundle that was ever in force: a request that was
-    /// dispatched under an earlier one may still run.
+    /// Longest deadline of all bundles that have been in force: a request that was
+    /// dispatched under an earlier bundle may still run.
     longest_deadline_ms: Millis,
     /// The bundle in force, parsed from its text in `tables`.
     #[serde(skip)]
@@ -61,7 +61,7 @@
         self.clock = self.clock.max(stamped.clock);
         let rules = self.once_rules();
         self.once.advance(stamped.wall_ms, rules);
-        self.ledger.forget_before(MAX_SHIFT_WINDOW_MS, self.clock);
+        self.ledger.drop_expired(MAX_SHIFT_WINDOW_MS, self.clock);
         match &stamped.command {
             Command::Initialize(policy) => self.initialize(policy),
             Command::SubmitBundle {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Restores what is derived from the tables after a snapshot was read.
+    /// Restores the state that is derived from the tables, after a snapshot was decoded.
     pub fn restore_derived(&mut self) {
         self.bundle = self
             .tables
@@ -126,7 +126,7 @@
             .and_then(|in_force| serde_json::from_str(&in_force.content).ok());
     }
 
-    /// The rows that followers hold.
+    /// The rows that are replicated to followers.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
@@ -146,12 +146,12 @@
         &self.history
     }
 
-    /// What moved and still counts.
+    /// Moves of traffic shares that still count against the shift caps.
     pub fn shift_ledger(&self) -> &ShiftLedger {
         &self.ledger
     }
 
-    /// Slots that were taken away and may still be in use.
+    /// Slots that were revoked and may still be in use.
     pub fn releases(&self) -> &[Release] {
         &self.releases
     }
@@ -166,7 +166,7 @@
         &self.catalog
     }
 
-    /// Longest time that a request may run after it was dispatched.
+    /// Longest time in milliseconds that a request may run after its dispatch.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.longest_deadline_ms
     }
@@ -191,7 +191,7 @@
         CommandAnswer::Done
     }
 
-    /// Carries out a submit that took a new revision after `before`.
+    /// Puts the newest revision in force if it is later than `before`.
     fn put_in_force(
         &mut self,
         before: u64,
@@ -225,13 +225,16 @@
     }
 
     fn apply_drain_order(&mut self, revision: u64, index: ControlVersion) {
-        let change = self.history.revision(revision).map(|one| &one.change);
-        let (target, drained) = match change {
+        let change = self
+            .history
+            .revision(revision)
+            .map(|revision| &revision.change);
+        let (target, is_drained) = match change {
             Some(AcceptedChange::Order(OrderAction::Drain { target })) => (target.clone(), true),
             Some(AcceptedChange::Order(OrderAction::Restore { target })) => (target.clone(), false),
             _ => return,
         };
-        self.tables.drains.set(target, drained, index);
+        self.tables.drains.set(target, is_drained, index);
     }
 
     fn update_backends(
@@ -239,47 +242,47 @@
         rows: &[PlatformBackend],
         index: ControlVersion,
     ) -> CommandAnswer {
-        let mut changed = false;
+        let mut has_changed = false;
         for row in rows {
             let mut state = row.state;
-            if let Some(known) = self.tables.backends.get(&row.id) {
-                // The platform list lags: an older epoch tells nothing new, and
-                // within one epoch "leaving" never turns back to "live".
-                if row.epoch < known.epoch {
+            if let Some(existing) = self.tables.backends.get(&row.id) {
+                // The platform list lags: rows of an older epoch are outdated, and
+                // within one epoch "leaving" never reverts to "live".
+                if row.epoch < existing.epoch {
                     continue;
                 }
-                if row.epoch == known.epoch {
-                    state = state.max(known.state);
+                if row.epoch == existing.epoch {
+                    state = state.max(existing.state);
                 }
             }
             let record = PlatformBackend {
                 state,
                 ..row.clone()
             };
-            changed |= self.tables.backends.set(row.id.clone(), record, index);
+            has_changed |= self.tables.backends.set(row.id.clone(), record, index);
         }
-        self.note_change(changed, index)
+        self.record_change(has_changed, index)
     }
 
     fn mark_leaving(&mut self, backends: &[BackendEpoch], index: ControlVersion) -> CommandAnswer {
-        let mut changed = false;
-        for news in backends {
-            let Some(known) = self.tables.backends.get(&news.backend) else {
+        let mut has_changed = false;
+        for leaving in backends {
+            let Some(existing) = self.tables.backends.get(&leaving.backend) else {
                 continue;
             };
-            if known.epoch != news.epoch {
+            if existing.epoch != leaving.epoch {
                 continue;
             }
             let record = PlatformBackend {
                 state: BackendState::Leaving,
-                ..known.clone()
+                ..existing.clone()
             };
-            changed |= self
+            has_changed |= self
                 .tables
                 .backends
-                .set(news.backend.clone(), record, index);
+                .set(leaving.backend.clone(), record, index);
         }
-        self.note_change(changed, index)
+        self.record_change(has_changed, index)
     }
 
     fn update_members(
@@ -287,16 +290,16 @@
         members: &[(String, Member)],
         index: ControlVersion,
     ) -> CommandAnswer {
-        let mut changed = false;
+        let mut has_changed = false;
         for (name, member) in members {
-            let known = self.tables.members.get(name);
-            let late = known.is_some_and(|known| !known.is_followed_by(member));
-            if late {
+            let existing = self.tables.members.get(name);
+            let is_outdated = existing.is_some_and(|existing| !existing.is_superseded_by(member));
+            if is_outdated {
                 continue;
             }
-            changed |= self.tables.members.set(name.clone(), member.clone(), index);
+            has_changed |= self.tables.members.set(name.clone(), member.clone(), index);
         }
-        self.note_change(changed, index)
+        self.record_change(has_changed, index)
     }
 
     fn advance_shares(
@@ -313,30 +316,32 @@
                 return CommandAnswer::Refused(format!("service {} is not known", key.service));
             };
             if !next.is_complete() {
-                return CommandAnswer::Refused("the shares don't sum to the whole".to_owned());
+                return CommandAnswer::Refused(
+                    "the shares do not sum to all of the traffic".to_owned(),
+                );
             }
-            let Some(held) = self.tables.shares.get(key) else {
+            let Some(current) = self.tables.shares.get(key) else {
                 continue;
             };
-            let moved = held.moved_to(next);
+            let moved = current.moved_to(next);
             let budget = self.ledger.budget(key, service.shift_cap, self.clock);
-            // The shift cap holds here, whatever a leader proposes.
+            // Enforces the shift cap regardless of what a leader proposes.
             if moved > budget {
                 return CommandAnswer::Refused(format!(
-                    "{} basis points of {} from {} would move, {budget} may",
+                    "{} basis points of {} from {} would move, but only {budget} may move",
                     moved, key.service, key.origin
                 ));
             }
             moves.push((key.clone(), moved));
         }
-        let mut changed = false;
+        let mut has_changed = false;
         for (key, next) in steps {
-            changed |= self.tables.shares.set(key.clone(), next.clone(), index);
+            has_changed |= self.tables.shares.set(key.clone(), next.clone(), index);
         }
         for (key, moved) in moves.into_iter().filter(|(_, moved)| *moved > 0) {
             self.ledger.record(key, moved, index);
         }
-        self.note_change(changed, index)
+        self.record_change(has_changed, index)
     }
 
     fn adjust_slots(&mut self, changes: &[SlotChange], index: ControlVersion) -> CommandAnswer {
@@ -345,7 +350,7 @@
         };
         let result = slots::adjust(&mut self.tables, &mut self.releases, bundle, changes, index);
         match result {
-            Ok(()) => self.note_change(true, index),
+            Ok(()) => self.record_change(true, index),
             Err(error) => CommandAnswer::Refused(error.to_string()),
         }
     }
@@ -364,18 +369,18 @@
     }
 
     fn forget_daemons(&mut self, daemons: &[DaemonId], index: ControlVersion) -> CommandAnswer {
-        let mut changed = false;
+        let mut has_changed = false;
         for daemon in daemons {
-            changed |= self.tables.slots.forget(daemon).is_some();
+            has_changed |= self.tables.slots.remove(daemon).is_some();
             self.releases.retain(|release| release.daemon != *daemon);
         }
-        // A new version makes a daemon that was only frozen receive the removal in its
+        // The new version makes a daemon that was only frozen receive the removal in its
         // next delta.
-        self.note_change(changed, index)
+        self.record_change(has_changed, index)
     }
 
-    fn note_change(&mut self, changed: bool, index: ControlVersion) -> CommandAnswer {
-        if changed {
+    fn record_change(&mut self, has_changed: bool, index: ControlVersion) -> CommandAnswer {
+        if has_changed {
             self.tables.version = index;
         }
         CommandAnswer::Done
--- a/crates/coursestand-coordination/src/tables.rs
+++ b/crates/coursestand-coordination/src/tables.rs
@@ -1,7 +1,7 @@
-//! The part of the control state that followers hold. Every row carries the
-//! version that last changed it, so the difference between any two versions is
-//! found without a history: catch-up costs the size of the changed rows, not the
-//! number of changes that were missed.
+//! The part of the control state that is replicated to followers. Every row carries the
+//! version that last changed it, so the delta between any two versions is computed
+//! without a history: catch-up costs the size of the changed rows, not the number of
+//! missed changes.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::shares::{ShareKey, ShareVector};
 
-/// Position in the replicated log of the last change that followers can see.
+/// Log index of the last change that is visible to followers.
 pub type ControlVersion = u64;
 
 /// Slots that a daemon holds, by back end.
@@ -41,17 +41,17 @@
 }
 
 impl<K: Ord + Clone, V: Clone + PartialEq> VersionedTable<K, V> {
-    /// The value of `key`.
+    /// Returns the value of `key`.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.rows.get(key).map(|row| &row.value)
     }
 
-    /// The value of `key` with the version that last changed it.
+    /// Returns the value of `key` with the version that last changed it.
     pub fn row(&self, key: &K) -> Option<&Row<V>> {
         self.rows.get(key)
     }
 
-    /// Sets a value; returns whether it differs from the one before.
+    /// Sets a value. Returns whether it differs from the previous one.
     pub fn set(&mut self, key: K, value: V, changed_at: ControlVersion) -> bool {
         if self.get(&key) == Some(&value) {
             return false;
@@ -61,7 +61,7 @@
     }
 
     /// Removes a row. [`Self::changed_since`] doesn't report the removal.
-    pub fn forget(&mut self, key: &K) -> Option<V> {
+    pub fn remove(&mut self, key: &K) -> Option<V> {
         self.rows.remove(key).map(|row| row.value)
     }
 
@@ -80,7 +80,7 @@
         self.rows.is_empty()
     }
 
-    /// Rows that changed after `since`.
+    /// Returns the rows that changed after `since`.
     pub fn changed_since(&self, since: ControlVersion) -> Vec<(K, Row<V>)> {
         self.rows
             .iter()
@@ -89,14 +89,14 @@
             .collect()
     }
 
-    /// Takes over rows that are newer than the ones held.
+    /// Inserts the rows that are newer than the existing ones.
     pub fn merge(&mut self, rows: Vec<(K, Row<V>)>) {
         for (key, row) in rows {
-            let newer = self
+            let is_newer = self
                 .rows
                 .get(&key)
-                .is_none_or(|held| held.changed_at < row.changed_at);
-            if newer {
+                .is_none_or(|existing| existing.changed_at < row.changed_at);
+            if is_newer {
                 self.rows.insert(key, row);
             }
         }
@@ -106,7 +106,7 @@
 /// The bundle in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleInForce {
-    /// Revision, which grows with each accepted change.
+    /// Revision number, which increases with each accepted change.
     pub revision: u64,
     /// JSON text of the bundle.
     pub content: String,
@@ -115,9 +115,9 @@
 /// Whether callers should be sent to a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberPhase {
-    /// Serves callers.
+    /// Serves requests.
     Serving,
-    /// Its lease ended; it may come back.
+    /// Its lease expired; it may return to `Serving`.
     Silent,
     /// Announced that it stops.
     Leaving,
@@ -126,9 +126,9 @@
 }
 
 impl MemberPhase {
-    /// Whether one run of a daemon may go from this phase to `next`: what it
-    /// announced itself is never taken back.
-    pub fn may_become(self, next: MemberPhase) -> bool {
+    /// Whether a daemon may change from this phase to `next` within one incarnation: a
+    /// phase that it announced itself is not reverted.
+    pub fn can_transition_to(self, next: MemberPhase) -> bool {
         match self {
             MemberPhase::Serving | MemberPhase::Silent => true,
             MemberPhase::Leaving => matches!(next, MemberPhase::Leaving | MemberPhase::Gone),
@@ -137,31 +137,31 @@
     }
 }
 
-/// A daemon as look-ups see it.
+/// A daemon's row for look-ups.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Run of the daemon that this row tells of.
+    /// Incarnation of the daemon that this row describes.
     pub incarnation: u64,
     /// Zone in which it runs.
     pub zone: ZoneId,
-    /// `IP:port` that callers use; `None` when it is no entry daemon.
+    /// `IP:port` for callers; `None` unless it is an entry daemon.
     pub address: Option<String>,
     /// Whether callers should be sent to it.
     pub phase: MemberPhase,
 }
 
 impl Member {
-    /// Whether `next` tells of a later run, or of a later phase of this one.
-    pub fn is_followed_by(&self, next: &Member) -> bool {
+    /// Whether `next` describes a later incarnation, or a permitted phase of this one.
+    pub fn is_superseded_by(&self, next: &Member) -> bool {
         match next.incarnation.cmp(&self.incarnation) {
             std::cmp::Ordering::Less => false,
-            std::cmp::Ordering::Equal => self.phase.may_become(next.phase),
+            std::cmp::Ordering::Equal => self.phase.can_transition_to(next.phase),
             std::cmp::Ordering::Greater => true,
         }
     }
 }
 
-/// What an operator can drain.
+/// Target of a drain order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainTarget {
@@ -173,7 +173,7 @@
     Backend(BackendId),
 }
 
-/// All rows that followers hold.
+/// All rows that are replicated to followers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tables {
     /// Version up to which the rows are complete.
@@ -192,7 +192,7 @@
     pub drains: VersionedTable<DrainTarget, bool>,
 }
 
-/// The rows that changed between two versions, as one follower needs them.
+/// The rows that changed between two versions, for one follower.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Version that the follower has after applying this.
@@ -206,7 +206,7 @@
 }
 
 impl Delta {
-    /// This delta with the slots of one daemon.
+    /// Returns this delta with the given slots.
     pub fn with_slots(&self, slots: Vec<(DaemonId, Row<SlotMap>)>) -> Delta {
         Delta {
             slots,
@@ -215,7 +215,7 @@
     }
 }
 
-/// Whose slots a delta carries.
+/// Selects the daemons whose slots a delta carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotScope<'a> {
     /// Only those of one daemon.
@@ -225,7 +225,7 @@
 }
 
 impl Tables {
-    /// The rows that changed after `since`.
+    /// Returns the rows that changed after `since`.
     pub fn delta(&self, since: ControlVersion, scope: SlotScope<'_>) -> Delta {
         let mut delta = self.common_delta(since);
         delta.slots = match scope {
@@ -235,7 +235,7 @@
         delta
     }
 
-    /// The part of a delta that is the same for every daemon.
+    /// Returns the part of a delta that is the same for every daemon.
     pub fn common_delta(&self, since: ControlVersion) -> Delta {
         if since >= self.version {
             return Delta {
@@ -254,8 +254,8 @@
         }
     }
 
-    /// The slots of one daemon, if they changed after `since`. For a daemon without a row, an
-    /// empty map as of the current version: its copy may still contain slots from a row that
+    /// Returns the slots of one daemon, if they changed after `since`. For a daemon without a
+    /// row, returns an empty map as of the current version: its copy may still contain slots from a row that
     /// was removed.
     pub fn slots_delta(
         &self,
@@ -276,8 +276,8 @@
             .collect()
     }
 
-    /// Applies a delta. An older one changes nothing: the version held by a
-    /// follower never falls. Returns whether the version grew.
+    /// Applies a delta. Ignores an older one: a follower's version never decreases. Returns
+    /// whether the version increased.
     pub fn apply(&mut self, delta: Delta) -> bool {
         if delta.version <= self.version {
             return false;
@@ -297,7 +297,7 @@
         self.bundle.get(&())
     }
 
-    /// Whether an operator drains this target.
+    /// Whether a drain order for this target is in effect.
     pub fn is_drained(&self, target: &DrainTarget) -> bool {
         self.drains.get(target).copied().unwrap_or(false)
     }
--- a/crates/coursestand-coordination/src/wire.rs
+++ b/crates/coursestand-coordination/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons and their source of control state.
+//! Messages between daemons and control replicas, their source of control state.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,21 @@
 use crate::once::{ClaimAnswer, OnceCommand};
 use crate::tables::{ControlVersion, Delta, MemberPhase};
 
-/// A daemon asks for news and for its lease. The source may hold the request
-/// until there is news.
+/// A daemon's request for changes of the control state and for a lease. The source may
+/// defer its answer until there are changes (long poll).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// Who asks.
+    /// Requesting daemon.
     pub daemon: DaemonId,
     /// Zone in which it runs.
     pub zone: ZoneId,
-    /// Address for callers, when it is an entry daemon.
+    /// Address for callers; `None` unless it is an entry daemon.
     pub address: Option<String>,
     /// Whether callers should be sent to it.
     pub phase: MemberPhase,
     /// Version of the rows that it holds.
     pub have: ControlVersion,
-    /// What it decides on.
+    /// Versions that its decisions use.
     pub progress: Progress,
 }
 
@@ -35,14 +35,14 @@
     pub service: ServiceId,
     /// The zone of the back ends.
     pub zone: ZoneId,
-    /// Requests in flight, waiting or refused for lack of a slot at the peak.
+    /// Peak number of requests in flight, waiting for a slot, or refused for lack of one.
     pub wanted: u32,
 }
 
-/// What a daemon saw of the back ends on which it holds slots.
+/// A daemon's observations of the back ends on which it holds slots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportRequest {
-    /// Who reports.
+    /// Reporting daemon.
     pub daemon: DaemonId,
     /// Its demand.
     pub demand: Vec<DemandRow>,
@@ -50,33 +50,33 @@
     pub reachable: Vec<BackendId>,
     /// Back ends that don't answer.
     pub unreachable: Vec<BackendId>,
-    /// Back ends that said they are leaving.
+    /// Back ends that announced that they are leaving.
     pub leaving: Vec<BackendEpoch>,
 }
 
 /// A message to a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// Asks for news and a lease.
+    /// Requests changes of the control state and a lease.
     Follow(FollowRequest),
     /// Reports demand and the health of back ends.
     Report(ReportRequest),
     /// A command for the once ledger.
     Once(OnceCommand),
-    /// A message of the consensus group, encoded by it.
+    /// An encoded message of the consensus group.
     Consensus(Vec<u8>),
 }
 
 /// Answer of a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// News, and a lease counted from before the request was sent.
+    /// Changes, with a lease that the daemon counts from before it sent the request.
     Follow(Delta),
-    /// Taken.
+    /// Accepted.
     Done,
     /// Answer to a claim.
     Claim(ClaimAnswer),
-    /// This replica can't answer; the leader may be there.
+    /// This replica is not the leader; carries the leader's address if known.
     NotLeader(Option<SocketAddr>),
     /// Refused, with the reason.
     Refused(String),
--- a/crates/coursestand-coordination/tests/bundles.rs
+++ b/crates/coursestand-coordination/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Racing and resent submits, sign-offs and rolling back.
+//! Racing and retransmitted submissions, sign-offs, and rollbacks.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,30 +10,35 @@
 use coursestand_model::{Bundle, SignedBundle};
 use googletest::prelude::*;
 
-fn submit(machine: &mut Machine, bundle: SignedBundle, expected: u64, name: &str) -> SubmitAnswer {
+fn submit(
+    machine: &mut Machine,
+    bundle: SignedBundle,
+    expected: u64,
+    submission: &str,
+) -> SubmitAnswer {
     let answer = machine.apply(Command::SubmitBundle {
         bundle,
         expected_revision: expected,
-        submission: name.to_owned(),
+        submission: submission.to_owned(),
     });
     match answer {
         CommandAnswer::Submit(answer) => answer,
-        other => panic!("another answer: {other:?}"),
+        other => panic!("unexpected answer: {other:?}"),
     }
 }
 
-fn with_cap(version: u64, share_bp: u32) -> Bundle {
+fn bundle_with_cap(version: u64, share_bp: u32) -> Bundle {
     let mut bundle = bundle(version);
     bundle.services[0].shift_cap.share_bp = share_bp;
     bundle
 }
 
 #[gtest]
-fn of_two_racing_operators_one_wins_and_one_is_told() {
+fn of_two_racing_submissions_one_is_accepted_and_one_conflicts() {
     let mut machine = Machine::started(2, 1);
-    let first = submit(&mut machine, signed(&with_cap(2, 100)), 1, "a");
+    let first = submit(&mut machine, signed(&bundle_with_cap(2, 100)), 1, "a");
     expect_that!(first, eq(&SubmitAnswer::Accepted { revision: 2 }));
-    let same_version = submit(&mut machine, signed(&with_cap(2, 200)), 1, "b");
+    let same_version = submit(&mut machine, signed(&bundle_with_cap(2, 200)), 1, "b");
     expect_that!(
         same_version,
         matches_pattern!(SubmitAnswer::Conflict {
@@ -41,7 +46,7 @@
             ..
         })
     );
-    let other_version = submit(&mut machine, signed(&with_cap(3, 200)), 1, "c");
+    let other_version = submit(&mut machine, signed(&bundle_with_cap(3, 200)), 1, "c");
     expect_that!(
         other_version,
         matches_pattern!(SubmitAnswer::Conflict {
@@ -53,21 +58,21 @@
 }
 
 #[gtest]
-fn a_resent_submit_gets_the_first_answer() {
+fn a_retransmitted_submission_gets_the_original_answer() {
     let mut machine = Machine::started(2, 1);
-    let bundle = signed(&with_cap(2, 100));
+    let bundle = signed(&bundle_with_cap(2, 100));
     let first = submit(&mut machine, bundle.clone(), 1, "a");
-    submit(&mut machine, signed(&with_cap(3, 100)), 2, "b");
+    submit(&mut machine, signed(&bundle_with_cap(3, 100)), 2, "b");
     expect_that!(submit(&mut machine, bundle.clone(), 1, "a"), eq(&first));
-    // The same content under another name of the submit, too.
+    // So does the same content under a different submission name.
     expect_that!(submit(&mut machine, bundle, 3, "z"), eq(&first));
     expect_that!(machine.state.history().current(), eq(3));
 }
 
 #[gtest]
-fn rolling_back_is_a_new_revision_with_the_old_content() {
+fn a_rollback_is_a_new_revision_with_the_old_content() {
     let mut machine = Machine::started(2, 1);
-    submit(&mut machine, signed(&with_cap(2, 100)), 1, "a");
+    submit(&mut machine, signed(&bundle_with_cap(2, 100)), 1, "a");
     let order = Order {
         expected_revision: 2,
         action: OrderAction::Roll { revision: 1 },
@@ -87,13 +92,13 @@
     let in_force = machine.state.tables().bundle_in_force().expect("in force");
     expect_that!(in_force.revision, eq(3));
     expect_that!(&in_force.content, eq(&signed(&bundle(1)).content));
-    // The order can't be replayed under another name: its revision is past.
-    let again = machine.apply(Command::SubmitOrder {
+    // The order can't be replayed under another name: its expected revision is outdated.
+    let replayed = machine.apply(Command::SubmitOrder {
         order,
         submission: "replayed".to_owned(),
     });
     expect_that!(
-        again,
+        replayed,
         matches_pattern!(CommandAnswer::Submit(matches_pattern!(
             SubmitAnswer::Conflict { .. }
         )))
@@ -101,32 +106,32 @@
 }
 
 #[gtest]
-fn sign_offs_are_checked() {
+fn unsigned_altered_and_unauthorized_bundles_are_refused() {
     let mut machine = Machine::started(2, 1);
-    let mut unsigned = signed(&with_cap(2, 100));
+    let mut unsigned = signed(&bundle_with_cap(2, 100));
     unsigned.signatures.clear();
-    let mut altered = signed(&with_cap(2, 100));
+    let mut altered = signed(&bundle_with_cap(2, 100));
     altered.content = altered
         .content
         .replace("\"share_bp\":100", "\"share_bp\":9000");
-    let mut stranger = signed(&with_cap(2, 100));
-    stranger.signatures[0].operator = "eve".to_owned();
+    let mut unauthorized = signed(&bundle_with_cap(2, 100));
+    unauthorized.signatures[0].operator = "eve".to_owned();
     for (bundle, reason) in [
         (unsigned, "0 operators signed, 1 are required"),
-        (altered, "does not fit the content"),
-        (stranger, "eve is not allowed"),
+        (altered, "does not match the content"),
+        (unauthorized, "eve is not allowed"),
     ] {
         let answer = submit(&mut machine, bundle, 1, "x");
-        let SubmitAnswer::Refused { reason: found } = answer else {
-            panic!("another answer: {answer:?}");
+        let SubmitAnswer::Refused { reason: actual } = answer else {
+            panic!("unexpected answer: {answer:?}");
         };
-        expect_that!(found, contains_substring(reason));
+        expect_that!(actual, contains_substring(reason));
     }
     expect_that!(machine.state.history().current(), eq(1));
 }
 
 #[gtest]
-fn the_same_operator_does_not_count_twice() {
+fn two_signatures_of_one_operator_count_once() {
     let content = "text";
     let signature = sign("ada", &key(), content.as_bytes());
     let policy = SignoffPolicy {
@@ -138,7 +143,7 @@
 }
 
 #[gtest]
-fn the_sign_off_policy_is_set_once() {
+fn the_sign_off_policy_can_be_set_only_once() {
     let mut machine = Machine::started(1, 1);
     let other = SignoffPolicy::default();
     let answer = machine.apply(Command::Initialize(other));
@@ -148,15 +153,15 @@
 #[gtest]
 fn a_bad_bundle_is_refused_with_its_field() {
     let mut machine = Machine::started(1, 1);
-    let answer = submit(&mut machine, signed(&with_cap(2, 0)), 1, "x");
+    let answer = submit(&mut machine, signed(&bundle_with_cap(2, 0)), 1, "x");
     let SubmitAnswer::Refused { reason } = answer else {
-        panic!("another answer: {answer:?}");
+        panic!("unexpected answer: {answer:?}");
     };
     expect_that!(reason, contains_substring("services[0].shift_cap.share_bp"));
 }
 
 #[gtest]
-fn a_shorter_deadline_does_not_forget_requests_of_the_longer_one() {
+fn a_shorter_deadline_does_not_lower_the_longest_deadline() {
     let mut machine = Machine::started(2, 1);
     let before = machine.state.longest_deadline_ms();
     let mut shorter = bundle(2);
@@ -167,7 +172,7 @@
 }
 
 #[gtest]
-fn a_snapshot_gives_the_same_state_back() {
+fn a_decoded_snapshot_equals_the_encoded_state() {
     let machine = Machine::started(3, 2);
     let bytes = postcard::to_stdvec(&machine.state).expect("encoded");
     let mut restored: ControlState = postcard::from_bytes(&bytes).expect("decoded");
--- a/crates/coursestand-coordination/tests/common/mod.rs
+++ b/crates/coursestand-coordination/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the coordination parts share.
+//! Helpers shared by the tests of this crate.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::BTreeMap;
@@ -16,16 +16,16 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-pub const CAP: ShiftCap = ShiftCap {
+pub const SHIFT_CAP: ShiftCap = ShiftCap {
     share_bp: 1_500,
     window_ms: 1_000,
 };
 pub const REGION_CAPACITY: u32 = 14;
 pub const LINK_CAPACITY: u32 = 5;
-pub const SLOTS: u32 = 4;
+pub const SLOTS_PER_BACKEND: u32 = 4;
 
-/// The same cases in every run.
-pub fn fixed(cases: u32) -> ProptestConfig {
+/// Property test settings with a fixed seed, so that every run tests the same cases.
+pub fn deterministic_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(7),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Two regions with two zones each and one service.
+/// A bundle with two regions of two zones each and one service.
 pub fn bundle(version: u64) -> Bundle {
     let region = |id: &str, zones: [usize; 2]| Region {
         id: id.into(),
@@ -74,7 +74,7 @@
             id: "desk".into(),
             repeatable: false,
             policy: Policy::Headroom {},
-            shift_cap: CAP,
+            shift_cap: SHIFT_CAP,
             deadline_ms: 2_000,
             queue_ms: 10,
             max_body_bytes: 1_000,
@@ -106,7 +106,7 @@
         service: "desk".into(),
         zone: zone(index % 4),
         address: format!("127.0.0.1:{}", 1_000 + index),
-        slots: SLOTS,
+        slots: SLOTS_PER_BACKEND,
         connections: 100,
         epoch,
         state,
@@ -130,7 +130,7 @@
     (daemon(index).name, member)
 }
 
-/// A control state with its log position and clocks.
+/// A control state with its log index and clocks.
 pub struct Machine {
     pub state: ControlState,
     pub index: u64,
@@ -139,7 +139,7 @@
 }
 
 impl Machine {
-    /// With a bundle in force, back ends and daemons.
+    /// Creates a machine with a bundle in force, back ends and daemons.
     pub fn started(backends: usize, daemons: usize) -> Machine {
         let mut machine = Machine {
             state: ControlState::default(),
--- a/crates/coursestand-coordination/tests/freshness.rs
+++ b/crates/coursestand-coordination/tests/freshness.rs
@@ -1,7 +1,8 @@
-//! A follower must never believe that its copy holds every acknowledged change while
-//! it lacks one. A group of replicas appends, loses its leader, overwrites what was
-//! not acknowledged and acknowledges; a follower hears late answers in any order.
-//! Nothing that is claimed as proven may miss a change acknowledged before that moment.
+//! A follower must never consider its copy complete while it lacks an acknowledged change.
+//! A simulated group appends and acknowledges entries, loses its leader and overwrites
+//! entries that were not acknowledged; the follower receives delayed answers in any order.
+//! A copy that is proven fresh as of some time must contain every change that was
+//! acknowledged before that time.
 #![allow(missing_docs)]
 
 use std::collections::BTreeSet;
@@ -15,13 +16,13 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// These replicas copy the leader's log; with a quorum the entry is acknowledged.
+    /// These replicas append an entry, which is acknowledged if they form a quorum.
     Append { copies: Vec<u8> },
-    /// A replica is asked; its answer is heard `delay` steps later.
+    /// A replica is asked; its answer arrives `delay` steps later.
     Ask { replica: u8, delay: usize },
-    /// The copy takes in what this replica has applied.
+    /// The copy receives all changes that this replica has applied.
     Follow { replica: u8 },
-    /// An entry that no quorum holds is dropped everywhere.
+    /// Entries that are not acknowledged are removed from all logs.
     Overwrite,
 }
 
@@ -39,7 +40,7 @@
 struct Group {
     /// Last index of each replica's log.
     ends: [u64; 6],
-    /// Last acknowledged index, and when each came.
+    /// Time and index of each acknowledged entry.
     acknowledged: Vec<(u64, u64)>,
 }
 
@@ -74,29 +75,29 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
     #[test]
-    fn what_is_proven_lacks_nothing_that_was_acknowledged(steps in prop::collection::vec(step(), 1..60)) {
+    fn a_copy_proven_fresh_has_all_acknowledged_changes(steps in prop::collection::vec(step(), 1..60)) {
         let mut group = Group::default();
         let mut freshness = Freshness::default();
         freshness.set_members(BTreeSet::from(MEMBERS), 1);
         let mut covered = 0;
-        let mut late: Vec<(usize, u8, u64, u64)> = Vec::new();
+        let mut delayed: Vec<(usize, u8, u64, u64)> = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
-            // Each step takes two ticks: what happens at one is before the next ask.
+            // Each step takes two ticks, so that its events precede the next request.
             let now = 2 * number as u64 + 1;
             match step {
                 Step::Append { copies } => group.append(now, &copies),
                 Step::Ask { replica, delay } => {
-                    late.push((number + delay, replica, now, group.ends[replica as usize]));
+                    delayed.push((number + delay, replica, now, group.ends[replica as usize]));
                 }
                 Step::Follow { replica } => {
-                    // A replica applies only what it knows to be committed.
+                    // A replica applies only committed entries.
                     let applied = group.ends[replica as usize].min(group.newest_acknowledged());
                     covered = covered.max(applied);
-                    freshness.cover(applied);
+                    freshness.advance_covered_index(applied);
                 }
                 Step::Overwrite => group.overwrite(),
             }
-            late.retain(|(due, replica, asked_at, end)| {
+            delayed.retain(|(due, replica, asked_at, end)| {
                 let is_due = *due <= number;
                 if is_due {
                     freshness.note_log_end(*replica, *asked_at, *end);
@@ -110,16 +111,16 @@
     }
 }
 
-fn of_five() -> Freshness<u8> {
+fn freshness_of_five_members() -> Freshness<u8> {
     let mut freshness = Freshness::default();
     freshness.set_members(BTreeSet::from(MEMBERS), 10);
     freshness
 }
 
 #[gtest]
-fn a_quorum_that_holds_nothing_newer_proves_the_moment_it_was_asked() {
-    let mut freshness = of_five();
-    freshness.cover(7);
+fn a_quorum_without_newer_entries_proves_freshness_as_of_the_request() {
+    let mut freshness = freshness_of_five_members();
+    freshness.advance_covered_index(7);
     freshness.note_log_end(1, 100, 7);
     freshness.note_log_end(2, 200, 6);
     expect_that!(freshness.proven_at(), none());
@@ -128,9 +129,9 @@
 }
 
 #[gtest]
-fn an_entry_that_only_a_minority_holds_does_not_stand_in_the_way() {
-    let mut freshness = of_five();
-    freshness.cover(7);
+fn an_entry_in_a_minority_of_logs_does_not_prevent_the_proof() {
+    let mut freshness = freshness_of_five_members();
+    freshness.advance_covered_index(7);
     freshness.note_log_end(1, 100, 8);
     freshness.note_log_end(2, 100, 8);
     for replica in [3, 4, 5] {
@@ -140,21 +141,21 @@
 }
 
 #[gtest]
-fn an_entry_that_may_be_acknowledged_is_waited_for() {
-    let mut freshness = of_five();
-    freshness.cover(7);
+fn an_entry_that_may_be_acknowledged_delays_the_proof() {
+    let mut freshness = freshness_of_five_members();
+    freshness.advance_covered_index(7);
     for replica in [1, 2, 3] {
         freshness.note_log_end(replica, 100, 8);
     }
     freshness.note_log_end(4, 100, 7);
     expect_that!(freshness.proven_at(), none());
-    freshness.cover(8);
+    freshness.advance_covered_index(8);
     expect_that!(freshness.proven_at(), some(eq(100)));
 }
 
 #[gtest]
-fn an_older_list_of_members_is_not_taken() {
-    let mut freshness = of_five();
+fn an_older_member_list_is_ignored() {
+    let mut freshness = freshness_of_five_members();
     expect_that!(freshness.set_members(BTreeSet::from([1]), 9), eq(false));
     freshness.note_log_end(1, 100, 0);
     expect_that!(freshness.proven_at(), none());
@@ -162,96 +163,97 @@
 }
 
 #[gtest]
-fn a_stranger_counts_for_nothing() {
-    let mut freshness = of_five();
-    for stranger in [6, 7, 8] {
-        freshness.note_log_end(stranger, 100, 0);
+fn answers_of_non_members_are_ignored() {
+    let mut freshness = freshness_of_five_members();
+    for non_member in [6, 7, 8] {
+        freshness.note_log_end(non_member, 100, 0);
     }
     expect_that!(freshness.proven_at(), none());
 }
 
 #[gtest]
-fn a_growing_log_does_not_keep_the_proof_away() {
+fn a_growing_log_does_not_prevent_the_proof() {
     let mut freshness = Freshness::default();
     freshness.set_members(BTreeSet::from([1, 2, 3]), 1);
-    // Two of three answer, and each has applied all but its newest entries.
+    // Two of three replicas answer, and each has applied all but its newest entries.
     for round in 0..20 {
-        freshness.cover(round);
+        freshness.advance_covered_index(round);
         freshness.note_log_end(1 + (round % 2) as u8, round * 75, round + 2);
     }
     expect_that!(freshness.proven_at(), some(ge(16 * 75)));
 }
 
 #[gtest]
-fn what_a_replica_has_applied_counts_once_the_copy_is_at_its_version() {
-    let mut freshness = of_five();
+fn an_applied_index_counts_once_the_copy_reaches_its_version() {
+    let mut freshness = freshness_of_five_members();
     for replica in [1, 2, 3] {
         freshness.note_log_end(replica, 100, 9);
     }
     freshness.note_applied(7, 9);
     expect_that!(freshness.proven_at(), none());
-    freshness.hold(6);
+    freshness.advance_version(6);
     expect_that!(freshness.proven_at(), none());
-    freshness.hold(7);
+    freshness.advance_version(7);
     expect_that!(freshness.proven_at(), some(eq(100)));
 }
 
-/// A step of a follower whose copy comes from elsewhere than what it is told.
+/// A step of a follower that receives changes and reports of versions separately.
 #[derive(Clone, Debug)]
-enum ToldStep {
-    /// Something of the group's own.
+enum FollowerStep {
+    /// A step of the group.
     Group(Step),
-    /// This replica tells the version that it has applied.
-    Tell { replica: u8 },
-    /// The copy takes in some of the changes that it was told of.
-    Take { changes: u64 },
+    /// This replica reports the version that it has applied.
+    Report { replica: u8 },
+    /// The copy receives some of the changes that were reported to it.
+    Receive { changes: u64 },
 }
 
-/// One entry in so many changes the followed part of the state.
-const CHANGES_EVERY: u64 = 3;
+/// One entry in this many changes the followed part of the state.
+const CHANGE_INTERVAL: u64 = 3;
 
-/// Version of the followed part of the state that has applied all up to `index`.
+/// Returns the version of the followed part of the state once all entries up to `index` are
+/// applied.
 fn version_at(index: u64) -> u64 {
-    index - index % CHANGES_EVERY
+    index - index % CHANGE_INTERVAL
 }
 
-fn told_step() -> impl Strategy<Value = ToldStep> {
+fn follower_step() -> impl Strategy<Value = FollowerStep> {
     prop_oneof![
-        4 => step().prop_map(ToldStep::Group),
-        2 => (1_u8..=5).prop_map(|replica| ToldStep::Tell { replica }),
-        1 => (1_u64..4).prop_map(|changes| ToldStep::Take { changes }),
+        4 => step().prop_map(FollowerStep::Group),
+        2 => (1_u8..=5).prop_map(|replica| FollowerStep::Report { replica }),
+        1 => (1_u64..4).prop_map(|changes| FollowerStep::Receive { changes }),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
     #[test]
-    fn a_copy_that_lacks_a_followed_change_is_not_proven(steps in prop::collection::vec(told_step(), 1..60)) {
+    fn a_copy_that_lacks_a_followed_change_is_not_proven_fresh(steps in prop::collection::vec(follower_step(), 1..60)) {
         let mut group = Group::default();
         let mut freshness = Freshness::default();
         freshness.set_members(BTreeSet::from(MEMBERS), 1);
-        let mut held = 0;
-        let mut told = 0;
-        let mut late: Vec<(usize, u8, u64, u64)> = Vec::new();
+        let mut copied = 0;
+        let mut reported = 0;
+        let mut delayed: Vec<(usize, u8, u64, u64)> = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
             let now = 2 * number as u64 + 1;
             match step {
-                ToldStep::Group(Step::Append { copies }) => group.append(now, &copies),
-                ToldStep::Group(Step::Overwrite) => group.overwrite(),
-                ToldStep::Group(Step::Ask { replica, delay }) => {
-                    late.push((number + delay, replica, now, group.ends[replica as usize]));
+                FollowerStep::Group(Step::Append { copies }) => group.append(now, &copies),
+                FollowerStep::Group(Step::Overwrite) => group.overwrite(),
+                FollowerStep::Group(Step::Ask { replica, delay }) => {
+                    delayed.push((number + delay, replica, now, group.ends[replica as usize]));
                 }
-                ToldStep::Group(Step::Follow { replica }) | ToldStep::Tell { replica } => {
+                FollowerStep::Group(Step::Follow { replica }) | FollowerStep::Report { replica } => {
                     let applied = group.ends[replica as usize].min(group.newest_acknowledged());
-                    told = applied.max(told);
+                    reported = applied.max(reported);
                     freshness.note_applied(version_at(applied), applied);
                 }
-                ToldStep::Take { changes } => {
-                    held = (held + changes * CHANGES_EVERY).min(version_at(told)).max(held);
-                    freshness.hold(held);
+                FollowerStep::Receive { changes } => {
+                    copied = (copied + changes * CHANGE_INTERVAL).min(version_at(reported)).max(copied);
+                    freshness.advance_version(copied);
                 }
             }
-            late.retain(|(due, replica, asked_at, end)| {
+            delayed.retain(|(due, replica, asked_at, end)| {
                 let is_due = *due <= number;
                 if is_due {
                     freshness.note_log_end(*replica, *asked_at, *end);
@@ -259,7 +261,7 @@
                 !is_due
             });
             if let Some(proven_at) = freshness.proven_at() {
-                prop_assert!(held >= version_at(group.last_acknowledged(proven_at)));
+                prop_assert!(copied >= version_at(group.last_acknowledged(proven_at)));
             }
         }
     }
--- a/crates/coursestand-coordination/tests/once_ledger.rs
+++ b/crates/coursestand-coordination/tests/once_ledger.rs
@@ -1,11 +1,11 @@
-//! The once ledger against a naive one that never forgets.
+//! Compares the once ledger with a model that never drops a record.
 #![allow(missing_docs)]
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{daemon, fixed};
+use common::{daemon, deterministic_config};
 use coursestand_coordination::once::{ClaimAnswer, ClaimId, OnceKey, OnceLedger, RecordedAnswer};
 use coursestand_model::bundle::Once;
 use googletest::prelude::*;
@@ -13,28 +13,20 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A claim arrives; `resend` sends an earlier attempt again.
+    /// A claim arrives; `resend` retransmits an earlier attempt.
     Claim {
         key: u8,
         age: u64,
         resend: Option<u8>,
     },
-    /// An attempt that was granted ends.
-    Finish {
-        attempt: u8,
-        ran: bool,
-    },
-    /// A late release of any attempt.
-    Release {
-        attempt: u8,
-    },
-    Pass {
-        ms: u64,
-    },
-    /// Another bundle changes the retention.
-    Retention {
-        ms: u64,
-    },
+    /// A granted attempt ends.
+    Finish { attempt: u8, ran: bool },
+    /// A delayed release of any attempt that was not granted.
+    Release { attempt: u8 },
+    /// Time passes.
+    Wait { ms: u64 },
+    /// A new bundle changes the retention.
+    Retention { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -43,7 +35,7 @@
             .prop_map(|(key, age, resend)| Step::Claim { key, age, resend }),
         4 => (any::<u8>(), any::<bool>()).prop_map(|(attempt, ran)| Step::Finish { attempt, ran }),
         2 => any::<u8>().prop_map(|attempt| Step::Release { attempt }),
-        3 => (0..800_u64).prop_map(|ms| Step::Pass { ms }),
+        3 => (0..800_u64).prop_map(|ms| Step::Wait { ms }),
         1 => (100..2_000_u64).prop_map(|ms| Step::Retention { ms }),
     ]
 }
@@ -52,13 +44,13 @@
 struct Attempt {
     key: OnceKey,
     claim: ClaimId,
-    granted: bool,
-    over: bool,
+    is_granted: bool,
+    has_ended: bool,
 }
 
-/// Runs the steps; returns how often each key was dispatched without a proof
-/// that the dispatch before was not run.
-fn run(steps: &[Step], floor_may_fall: bool) -> BTreeMap<OnceKey, usize> {
+/// Runs the steps. Returns how often each key was dispatched, not counting dispatches that
+/// provably did not run.
+fn run_steps(steps: &[Step], resets_ledger: bool) -> BTreeMap<OnceKey, usize> {
     let mut rules = Once {
         retention_ms: 500,
         clock_skew_ms: 100,
@@ -89,20 +81,22 @@
                     Attempt {
                         key: key.clone(),
                         claim,
-                        granted: false,
-                        over: false,
+                        is_granted: false,
+                        has_ended: false,
                     }
                 });
                 let answer = ledger.claim(attempt.key.clone(), attempt.claim.clone(), rules);
-                let known = attempts.iter().position(|one| one.claim == attempt.claim);
-                let index = known.unwrap_or_else(|| {
+                let existing = attempts
+                    .iter()
+                    .position(|existing| existing.claim == attempt.claim);
+                let index = existing.unwrap_or_else(|| {
                     attempts.push(attempt);
                     attempts.len() - 1
                 });
                 let attempt = &mut attempts[index];
-                // A daemon dispatches an attempt once, and not after it gave up.
-                if answer == ClaimAnswer::Granted && !attempt.granted && !attempt.over {
-                    attempt.granted = true;
+                // A daemon dispatches an attempt once, and not after it abandoned the attempt.
+                if answer == ClaimAnswer::Granted && !attempt.is_granted && !attempt.has_ended {
+                    attempt.is_granted = true;
                     *dispatched.entry(attempt.key.clone()).or_default() += 1;
                 }
             }
@@ -111,10 +105,10 @@
                 let Some(attempt) = attempts.get_mut(usize::from(*attempt) % count) else {
                     continue;
                 };
-                if !attempt.granted || attempt.over {
+                if !attempt.is_granted || attempt.has_ended {
                     continue;
                 }
-                attempt.over = true;
+                attempt.has_ended = true;
                 if *ran {
                     let answer = RecordedAnswer {
                         status: 200,
@@ -122,7 +116,7 @@
                     };
                     ledger.complete(&attempt.key, &attempt.claim, answer);
                 } else {
-                    // Proved not run: it does not count as a dispatch.
+                    // The request provably did not run, so the dispatch does not count.
                     *dispatched.entry(attempt.key.clone()).or_default() -= 1;
                     ledger.release(attempt.key.clone(), attempt.claim.clone());
                 }
@@ -130,17 +124,17 @@
             Step::Release { attempt } => {
                 let count = attempts.len().max(1);
                 if let Some(attempt) = attempts.get_mut(usize::from(*attempt) % count)
-                    && !attempt.granted
+                    && !attempt.is_granted
                 {
-                    attempt.over = true;
+                    attempt.has_ended = true;
                     ledger.release(attempt.key.clone(), attempt.claim.clone());
                 }
             }
-            Step::Pass { ms } => wall_ms += ms,
+            Step::Wait { ms } => wall_ms += ms,
             Step::Retention { ms } => {
                 rules.retention_ms = *ms;
-                if floor_may_fall {
-                    // The mechanism switched off: a new ledger has no floor.
+                if resets_ledger {
+                    // Disables the mechanism: a new ledger has no floor for the time of issue.
                     ledger = OnceLedger::default();
                 }
             }
@@ -150,18 +144,18 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(1_500))]
+    #![proptest_config(deterministic_config(1_500))]
 
     #[test]
-    fn a_key_is_dispatched_once_at_most(steps in prop::collection::vec(step(), 1..80)) {
-        let dispatched = run(&steps, false);
+    fn a_key_is_dispatched_at_most_once(steps in prop::collection::vec(step(), 1..80)) {
+        let dispatched = run_steps(&steps, false);
         let twice: BTreeSet<_> = dispatched.iter().filter(|(_, count)| **count > 1).collect();
         prop_assert!(twice.is_empty(), "{:?}", twice);
     }
 }
 
 #[gtest]
-fn without_the_floor_a_forgotten_key_runs_again() {
+fn without_the_floor_a_key_whose_record_was_dropped_runs_again() {
     let steps = [
         Step::Claim {
             key: 1,
@@ -172,7 +166,7 @@
             attempt: 0,
             ran: true,
         },
-        Step::Pass { ms: 700 },
+        Step::Wait { ms: 700 },
         Step::Retention { ms: 2_000 },
         Step::Claim {
             key: 1,
@@ -180,13 +174,13 @@
             resend: None,
         },
     ];
-    let most = |floor_may_fall| run(&steps, floor_may_fall).into_values().max();
-    expect_that!(most(false), eq(Some(1)));
-    expect_that!(most(true), eq(Some(2)));
+    let max_dispatches = |resets_ledger| run_steps(&steps, resets_ledger).into_values().max();
+    expect_that!(max_dispatches(false), eq(Some(1)));
+    expect_that!(max_dispatches(true), eq(Some(2)));
 }
 
 #[gtest]
-fn a_resend_gets_the_recorded_answer() {
+fn a_retransmitted_request_gets_the_recorded_answer() {
     let rules = Once {
         retention_ms: 500,
         clock_skew_ms: 100,
@@ -223,7 +217,7 @@
 }
 
 #[gtest]
-fn keys_of_another_shape_are_refused() {
+fn malformed_keys_are_rejected() {
     for text in [
         "",
         "12",
--- a/crates/coursestand-coordination/tests/shift_cap.rs
+++ b/crates/coursestand-coordination/tests/shift_cap.rs
@@ -1,12 +1,12 @@
-//! The shift cap, against a naive observer who sees only which shares each
-//! daemon decides on at each moment.
+//! Checks the shift cap with an observer that sees only the shares by which each daemon
+//! decides at each time.
 #![allow(missing_docs)]
 
 mod common;
 
 use std::collections::BTreeSet;
 
-use common::{CAP, Machine, bundle, daemon, fixed, signed, zone};
+use common::{Machine, SHIFT_CAP, bundle, daemon, deterministic_config, signed, zone};
 use coursestand_coordination::bundles::{Order, OrderAction, SignedOrder};
 use coursestand_coordination::planner::plan_steps;
 use coursestand_coordination::shares::{ShareKey, ShareVector};
@@ -29,33 +29,33 @@
     }
 }
 
-/// What a daemon decides on, at each step of time.
+/// The shares by which each daemon decides, at each step of time.
 struct Observer {
-    heard: Vec<(u64, ShareVector)>,
+    received: Vec<(u64, ShareVector)>,
     history: Vec<Vec<ShareVector>>,
 }
 
 impl Observer {
     fn new(first: &ShareVector) -> Observer {
         Observer {
-            heard: vec![(0, first.clone()); DAEMONS],
+            received: vec![(0, first.clone()); DAEMONS],
             history: Vec::new(),
         }
     }
 
-    fn note(&mut self) {
-        let now = self
-            .heard
+    fn record(&mut self) {
+        let current = self
+            .received
             .iter()
             .map(|(_, shares)| shares.clone())
             .collect();
-        self.history.push(now);
+        self.history.push(current);
     }
 
-    /// The most that any zone gained within any window, whichever daemon the
-    /// traffic came through before and after.
+    /// Returns the largest gain of any zone within any window, whichever daemons the
+    /// traffic passed before and after.
     fn largest_gain(&self) -> u32 {
-        let window = (CAP.window_ms / STEP_MS) as usize;
+        let window = (SHIFT_CAP.window_ms / STEP_MS) as usize;
         let mut largest = 0;
         for (end, after) in self.history.iter().enumerate() {
             for before in &self.history[end.saturating_sub(window)..=end] {
@@ -71,15 +71,15 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass {
+    Wait {
         steps: u8,
     },
-    Hear {
+    Receive {
         daemon: usize,
     },
     Drain {
         zone: usize,
-        on: bool,
+        is_drained: bool,
     },
     Down {
         zone: usize,
@@ -88,7 +88,7 @@
     Roll {
         to_new: bool,
     },
-    /// A leader that proposes what it likes.
+    /// The leader proposes shares regardless of the cap.
     Propose {
         zone: usize,
     },
@@ -96,9 +96,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (1..12_u8).prop_map(|steps| Step::Pass { steps }),
-        8 => (0..DAEMONS).prop_map(|daemon| Step::Hear { daemon }),
-        2 => (0..ZONES, any::<bool>()).prop_map(|(zone, on)| Step::Drain { zone, on }),
+        6 => (1..12_u8).prop_map(|steps| Step::Wait { steps }),
+        8 => (0..DAEMONS).prop_map(|daemon| Step::Receive { daemon }),
+        2 => (0..ZONES, any::<bool>()).prop_map(|(zone, is_drained)| Step::Drain { zone, is_drained }),
         1 => (0..ZONES).prop_map(|zone| Step::Down { zone }),
         1 => Just(Step::Up),
         1 => any::<bool>().prop_map(|to_new| Step::Roll { to_new }),
@@ -119,16 +119,16 @@
     }
 }
 
-struct Run {
+struct Simulation {
     machine: Machine,
     observer: Observer,
     down: BTreeSet<BackendId>,
-    /// Confirmations are believed without being there.
+    /// Confirms the newest version for all daemons, whether or not they have received it.
     skips_confirmation: bool,
 }
 
-impl Run {
-    fn new(skips_confirmation: bool) -> Run {
+impl Simulation {
+    fn new(skips_confirmation: bool) -> Simulation {
         let mut machine = Machine::started(BACKENDS, DAEMONS);
         let steps = plan_steps(&machine.state, &BTreeSet::new(), machine.clock);
         machine.apply(Command::AdvanceShares(steps));
@@ -139,7 +139,7 @@
             .get(&share_key())
             .expect("shares");
         let observer = Observer::new(first);
-        Run {
+        Simulation {
             machine,
             observer,
             down: BTreeSet::new(),
@@ -155,13 +155,16 @@
             .apply(Command::SubmitOrder { order, submission });
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
-            Step::Pass { steps } => (0..*steps).for_each(|_| self.pass()),
-            Step::Hear { daemon } => self.hear(*daemon),
-            Step::Drain { zone: index, on } => {
+            Step::Wait { steps } => (0..*steps).for_each(|_| self.advance()),
+            Step::Receive { daemon } => self.receive(*daemon),
+            Step::Drain {
+                zone: index,
+                is_drained,
+            } => {
                 let target = DrainTarget::Zone(zone(*index));
-                self.order(if *on {
+                self.order(if *is_drained {
                     OrderAction::Drain { target }
                 } else {
                     OrderAction::Restore { target }
@@ -194,18 +197,18 @@
         plan_steps(&self.machine.state, &self.down, self.machine.clock)
     }
 
-    fn hear(&mut self, index: usize) {
+    fn receive(&mut self, index: usize) {
         let tables = self.machine.state.tables();
         let shares = tables.shares.get(&share_key()).expect("shares").clone();
-        self.observer.heard[index] = (tables.version, shares);
+        self.observer.received[index] = (tables.version, shares);
     }
 
-    /// One round of the leader's duties, then some time.
-    fn pass(&mut self) {
+    /// Runs one round of the leader's tasks and advances the clock by one step.
+    fn advance(&mut self) {
         let version = self.machine.state.tables().version;
         let slowest = self
             .observer
-            .heard
+            .received
             .iter()
             .map(|(version, _)| *version)
             .min();
@@ -222,30 +225,30 @@
         if !steps.is_empty() {
             self.machine.apply(Command::AdvanceShares(steps));
         }
-        self.observer.note();
+        self.observer.record();
         self.machine.clock += STEP_MS;
     }
 }
 
 proptest! {
-    #![proptest_config(fixed(600))]
+    #![proptest_config(deterministic_config(600))]
 
     #[test]
     fn no_zone_gains_more_than_the_cap_in_any_window(
         steps in prop::collection::vec(step(), 10..80),
     ) {
-        let mut run = Run::new(false);
+        let mut simulation = Simulation::new(false);
         for step in &steps {
-            run.take(step);
-            // The observer sees every change of what a daemon decides on.
-            run.observer.note();
+            simulation.apply(step);
+            // The observer records every change of the shares by which a daemon decides.
+            simulation.observer.record();
         }
-        let gain = run.observer.largest_gain();
-        prop_assert!(gain <= CAP.share_bp, "a zone gained {} basis points", gain);
+        let gain = simulation.observer.largest_gain();
+        prop_assert!(gain <= SHIFT_CAP.share_bp, "a zone gained {} basis points", gain);
     }
 
     #[test]
-    fn a_step_moves_what_it_may_and_no_more(
+    fn a_step_moves_as_much_as_its_budget_allows(
         from in prop::collection::vec(0..10_u64, ZONES),
         to in prop::collection::vec(0..10_u64, ZONES),
         budget in 0..=FULL_SHARE,
@@ -267,46 +270,55 @@
 
 #[gtest]
 fn without_confirmation_a_slow_daemon_breaks_the_cap() {
-    let mut run = Run::new(true);
-    run.take(&Step::Drain { zone: 0, on: true });
+    let mut simulation = Simulation::new(true);
+    simulation.apply(&Step::Drain {
+        zone: 0,
+        is_drained: true,
+    });
     for _ in 0..60 {
-        run.pass();
-        run.hear(0);
+        simulation.advance();
+        simulation.receive(0);
     }
-    run.hear(1);
-    run.observer.note();
-    expect_that!(run.observer.largest_gain(), gt(CAP.share_bp));
+    simulation.receive(1);
+    simulation.observer.record();
+    expect_that!(simulation.observer.largest_gain(), gt(SHIFT_CAP.share_bp));
 }
 
-/// The clock of the state stands still while nothing is committed; a leader that
-/// plans by it waits for some other command before it goes on with a shift.
+/// Guards against planning by the clock of the state, which does not advance while nothing
+/// is committed: the leader would wait for some other command before the next step.
 #[gtest]
-fn the_next_step_is_due_once_its_window_has_passed_though_nothing_else_is_committed() {
-    let mut run = Run::new(false);
-    run.take(&Step::Drain { zone: 0, on: true });
-    run.pass();
-    (0..DAEMONS).for_each(|index| run.hear(index));
-    run.pass();
-    // Nothing is committed from the confirmation on.
-    let confirmed_at = run.machine.state.clock();
-    run.machine.clock = confirmed_at + CAP.window_ms - 1;
-    expect_that!(run.plan(), is_empty());
-    run.machine.clock = confirmed_at + CAP.window_ms;
-    let steps = run.plan();
+fn the_next_step_is_due_after_its_window_without_another_commit() {
+    let mut simulation = Simulation::new(false);
+    simulation.apply(&Step::Drain {
+        zone: 0,
+        is_drained: true,
+    });
+    simulation.advance();
+    (0..DAEMONS).for_each(|index| simulation.receive(index));
+    simulation.advance();
+    // Nothing is committed after the confirmation.
+    let confirmed_at = simulation.machine.state.clock();
+    simulation.machine.clock = confirmed_at + SHIFT_CAP.window_ms - 1;
+    expect_that!(simulation.plan(), is_empty());
+    simulation.machine.clock = confirmed_at + SHIFT_CAP.window_ms;
+    let steps = simulation.plan();
     expect_that!(steps, not(is_empty()));
-    let answer = run.machine.apply(Command::AdvanceShares(steps));
+    let answer = simulation.machine.apply(Command::AdvanceShares(steps));
     expect_that!(answer, matches_pattern!(CommandAnswer::Done));
 }
 
 #[gtest]
-fn a_drain_is_done_step_by_step() {
-    let mut run = Run::new(false);
-    run.take(&Step::Drain { zone: 0, on: true });
+fn a_drain_proceeds_in_steps_within_the_cap() {
+    let mut simulation = Simulation::new(false);
+    simulation.apply(&Step::Drain {
+        zone: 0,
+        is_drained: true,
+    });
     for _ in 0..400 {
-        run.pass();
-        (0..DAEMONS).for_each(|index| run.hear(index));
+        simulation.advance();
+        (0..DAEMONS).for_each(|index| simulation.receive(index));
     }
-    let shares = run
+    let shares = simulation
         .machine
         .state
         .tables()
@@ -315,8 +327,8 @@
         .expect("shares")
         .clone();
     expect_that!(shares.of(&zone(0)), eq(0));
-    expect_that!(run.observer.largest_gain(), le(CAP.share_bp));
-    let refused = run.machine.apply(Command::AdvanceShares(vec![(
+    expect_that!(simulation.observer.largest_gain(), le(SHIFT_CAP.share_bp));
+    let refused = simulation.machine.apply(Command::AdvanceShares(vec![(
         share_key(),
         ShareVector::all_to(&zone(0)),
     )]));
--- a/crates/coursestand-coordination/tests/slots.rs
+++ b/crates/coursestand-coordination/tests/slots.rs
@@ -1,12 +1,14 @@
-//! Slots: whatever is proposed, what daemons may use at the same time never
-//! exceeds a back end, a region or a link; and the allocator serves demand.
+//! Slot leases: whatever is proposed, the slots that daemons may use at the same time never
+//! exceed the capacity of a back end, a region or a link; and the allocator serves demand.
 #![allow(missing_docs)]
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{LINK_CAPACITY, Machine, REGION_CAPACITY, SLOTS, daemon, fixed, zone};
+use common::{
+    LINK_CAPACITY, Machine, REGION_CAPACITY, SLOTS_PER_BACKEND, daemon, deterministic_config, zone,
+};
 use coursestand_coordination::allocator::{Demand, fair_shares, plan_slots};
 use coursestand_coordination::slots::SlotChange;
 use coursestand_coordination::tables::{SlotMap, SlotScope};
@@ -18,10 +20,10 @@
 const BACKENDS: usize = 8;
 const DAEMONS: usize = 5;
 
-/// A daemon that may be behind: it uses what it last heard of.
+/// A daemon that may lag: it uses the slots of the last update that it received.
 #[derive(Clone, Debug, Default)]
-struct Naive {
-    heard: SlotMap,
+struct LaggingDaemon {
+    received: SlotMap,
 }
 
 #[derive(Clone, Debug)]
@@ -31,7 +33,7 @@
         backend: usize,
         count: u32,
     },
-    Hear {
+    Receive {
         daemon: usize,
     },
     Confirm {
@@ -46,30 +48,30 @@
     prop_oneof![
         4 => (0..DAEMONS, 0..BACKENDS, 0..6_u32)
             .prop_map(|(daemon, backend, count)| Step::Set { daemon, backend, count }),
-        3 => (0..DAEMONS).prop_map(|daemon| Step::Hear { daemon }),
+        3 => (0..DAEMONS).prop_map(|daemon| Step::Receive { daemon }),
         3 => (0..DAEMONS).prop_map(|daemon| Step::Confirm { daemon }),
         2 => prop::collection::vec(0..12_u32, DAEMONS).prop_map(|wanted| Step::Plan { wanted }),
     ]
 }
 
-/// Every daemon uses all that it last heard of, or all that it holds now,
-/// whichever is more: the worst that can happen at the back ends.
-fn check_worst_case(machine: &Machine, naive: &[Naive]) -> Result<(), TestCaseError> {
+/// Checks the limits in the worst case for the back ends: every daemon uses all slots that
+/// it last received or all slots that it holds, whichever is more.
+fn check_worst_case(machine: &Machine, daemons: &[LaggingDaemon]) -> Result<(), TestCaseError> {
     let tables = machine.state.tables();
     let mut by_backend: BTreeMap<BackendId, u32> = BTreeMap::new();
     let mut by_region = BTreeMap::from([("east", 0), ("west", 0)]);
     let mut east_to_west = 0;
-    for (index, one) in naive.iter().enumerate() {
+    for (index, lagging) in daemons.iter().enumerate() {
         let held = tables
             .slots
             .get(&daemon(index))
             .cloned()
             .unwrap_or_default();
-        let backends: BTreeSet<&BackendId> = held.keys().chain(one.heard.keys()).collect();
+        let backends: BTreeSet<&BackendId> = held.keys().chain(lagging.received.keys()).collect();
         for backend in backends {
             let used = held
                 .get(backend)
-                .max(one.heard.get(backend))
+                .max(lagging.received.get(backend))
                 .copied()
                 .unwrap_or(0);
             *by_backend.entry(backend.clone()).or_default() += used;
@@ -80,14 +82,14 @@
                 "west"
             };
             *by_region.entry(region).or_default() += used;
-            let from_east = index % 4 < 2;
-            if from_east && region == "west" {
+            let is_from_east = index % 4 < 2;
+            if is_from_east && region == "west" {
                 east_to_west += used;
             }
         }
     }
     prop_assert!(
-        by_backend.values().all(|used| *used <= SLOTS),
+        by_backend.values().all(|used| *used <= SLOTS_PER_BACKEND),
         "back end: {:?}",
         by_backend
     );
@@ -109,12 +111,12 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(500))]
+    #![proptest_config(deterministic_config(500))]
 
     #[test]
-    fn worst_case_use_stays_within_every_limit(steps in prop::collection::vec(step(), 1..60)) {
+    fn worst_case_usage_stays_within_every_limit(steps in prop::collection::vec(step(), 1..60)) {
         let mut machine = Machine::started(BACKENDS, DAEMONS);
-        let mut naive = vec![Naive::default(); DAEMONS];
+        let mut lagging = vec![LaggingDaemon::default(); DAEMONS];
         for step in steps {
             match step {
                 Step::Set { daemon: index, backend, count } => {
@@ -124,14 +126,14 @@
                         count,
                     }]));
                 }
-                Step::Hear { daemon: index } => {
+                Step::Receive { daemon: index } => {
                     let held = machine.state.tables().slots.get(&daemon(index));
-                    naive[index].heard = held.cloned().unwrap_or_default();
+                    lagging[index].received = held.cloned().unwrap_or_default();
                 }
                 Step::Confirm { daemon: index } => {
-                    // A daemon confirms only what it has heard.
+                    // A daemon confirms only versions that it has received.
                     let held = machine.state.tables().slots.get(&daemon(index));
-                    naive[index].heard = held.cloned().unwrap_or_default();
+                    lagging[index].received = held.cloned().unwrap_or_default();
                     let version = machine.state.tables().version;
                     let daemons = vec![(daemon(index), version)];
                     machine.apply(Command::Confirm { all: 0, daemons });
@@ -139,26 +141,26 @@
                 Step::Plan { wanted } => {
                     let changes = plan_slots(&machine.state, &demand_of(&wanted), &BTreeSet::new());
                     if !changes.is_empty() {
-                        // A plan is always allowed.
+                        // The allocator's proposal is within every limit.
                         let answer = machine.apply(Command::AdjustSlots(changes));
                         prop_assert_eq!(answer, CommandAnswer::Done);
                     }
                 }
             }
-            check_worst_case(&machine, &naive)?;
+            check_worst_case(&machine, &lagging)?;
         }
     }
 
     #[test]
-    fn fair_shares_are_fair(wants in prop::collection::vec(0..20_u32, 1..12), total in 0..60_u32) {
-        let shares = fair_shares(&wants, total);
-        let wanted: u32 = wants.iter().sum();
-        prop_assert_eq!(shares.iter().sum::<u32>(), wanted.min(total));
+    fn fair_shares_are_max_min_fair(wanted in prop::collection::vec(0..20_u32, 1..12), total in 0..60_u32) {
+        let shares = fair_shares(&wanted, total);
+        let total_wanted: u32 = wanted.iter().sum();
+        prop_assert_eq!(shares.iter().sum::<u32>(), total_wanted.min(total));
         for (index, share) in shares.iter().enumerate() {
-            prop_assert!(*share <= wants[index]);
-            let lacks = *share < wants[index];
-            let most = shares.iter().max().copied().unwrap_or(0);
-            prop_assert!(!lacks || share + 1 >= most, "{:?} of {:?}", shares, wants);
+            prop_assert!(*share <= wanted[index]);
+            let is_short = *share < wanted[index];
+            let largest = shares.iter().max().copied().unwrap_or(0);
+            prop_assert!(!is_short || share + 1 >= largest, "{:?} of {:?}", shares, wanted);
         }
     }
 }
@@ -182,10 +184,10 @@
     }
 
     /// The slots that the daemon may use: none while it is frozen.
-    fn usable(&self, daemon: &DaemonId) -> Naive {
+    fn usable(&self, daemon: &DaemonId) -> LaggingDaemon {
         let held = self.tables.slots.get(daemon).filter(|_| !self.is_frozen);
-        Naive {
-            heard: held.cloned().unwrap_or_default(),
+        LaggingDaemon {
+            received: held.cloned().unwrap_or_default(),
         }
     }
 }
@@ -210,7 +212,7 @@
     ]
 }
 
-/// Demand in which frozen daemons want nothing, so that they get no new slots.
+/// Returns the demand without that of frozen daemons, so that they get no new slots.
 fn demand_without_frozen(wanted: &[u32], followers: &[Follower]) -> Demand {
     let wanted: Vec<u32> = wanted
         .iter()
@@ -221,12 +223,12 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(500))]
+    #![proptest_config(deterministic_config(500))]
 
     /// Guards against a daemon that keeps the slots of a removed row in its copy and uses
     /// them after they were reassigned.
     #[test]
-    fn a_woken_daemon_uses_no_reassigned_slots(
+    fn a_daemon_that_was_frozen_uses_no_reassigned_slots(
         steps in prop::collection::vec(follower_step(), 1..60)
     ) {
         let mut machine = Machine::started(BACKENDS, DAEMONS);
@@ -253,7 +255,7 @@
                 }
                 FollowerStep::Forget { .. } => {}
             }
-            let usable: Vec<Naive> = followers
+            let usable: Vec<LaggingDaemon> = followers
                 .iter()
                 .enumerate()
                 .map(|(index, follower)| follower.usable(&daemon(index)))
@@ -264,7 +266,7 @@
 }
 
 #[gtest]
-fn without_waiting_for_confirmation_a_back_end_gets_too_much() {
+fn without_waiting_for_confirmation_a_back_end_is_overloaded() {
     let mut machine = Machine::started(BACKENDS, DAEMONS);
     let set = |daemon_index: usize, count| {
         Command::AdjustSlots(vec![SlotChange {
@@ -273,28 +275,35 @@
             count,
         }])
     };
-    machine.apply(set(0, SLOTS));
-    let naive = [Naive {
-        heard: SlotMap::from([("backend-0".into(), SLOTS)]),
+    machine.apply(set(0, SLOTS_PER_BACKEND));
+    let first = [LaggingDaemon {
+        received: SlotMap::from([("backend-0".into(), SLOTS_PER_BACKEND)]),
     }];
     machine.apply(set(0, 0));
-    let refused = machine.apply(set(1, SLOTS));
+    let refused = machine.apply(set(1, SLOTS_PER_BACKEND));
     expect_that!(refused, matches_pattern!(CommandAnswer::Refused(_)));
-    // The mechanism switched off: the slots count as free at once.
+    // Disables the mechanism: the revoked slots count as free immediately.
     let version = machine.state.tables().version;
     machine.apply(Command::Confirm {
         all: 0,
         daemons: vec![(daemon(0), version)],
     });
-    expect_that!(machine.apply(set(1, SLOTS)), eq(&CommandAnswer::Done));
     expect_that!(
-        check_worst_case(&machine, &[naive.to_vec(), vec![Naive::default()]].concat()).is_err(),
+        machine.apply(set(1, SLOTS_PER_BACKEND)),
+        eq(&CommandAnswer::Done)
+    );
+    expect_that!(
+        check_worst_case(
+            &machine,
+            &[first.to_vec(), vec![LaggingDaemon::default()]].concat()
+        )
+        .is_err(),
         eq(true)
     );
 }
 
 #[gtest]
-fn demand_is_served_once_slots_are_confirmed() {
+fn demand_is_served_in_the_zone_of_the_daemon() {
     let mut machine = Machine::started(BACKENDS, DAEMONS);
     let demand = demand_of(&[3, 0, 2, 0, 0]);
     let changes = plan_slots(&machine.state, &demand, &BTreeSet::new());
@@ -306,7 +315,7 @@
             .slots
             .get(&daemon(index))
             .expect("slots");
-        let own_zone: u32 = held
+        let in_zone: u32 = held
             .iter()
             .filter(|(backend, _)| {
                 let record = machine.state.tables().backends.get(backend);
@@ -314,6 +323,6 @@
             })
             .map(|(_, count)| *count)
             .sum();
-        expect_that!(own_zone, ge(wanted));
+        expect_that!(in_zone, ge(wanted));
     }
 }
--- a/crates/coursestand-daemon/src/control/exchange.rs
+++ b/crates/coursestand-daemon/src/control/exchange.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coursestand_coordination::followers::HOLD_MS;
+use coursestand_coordination::followers::MAX_POLL_WAIT_MS;
 use coursestand_coordination::tables::MemberPhase;
 use coursestand_coordination::wire::{ControlReply, ControlRequest, FollowRequest, ReportRequest};
 use coursestand_coordination::{Command, CommandAnswer};
@@ -38,7 +38,7 @@
 
     async fn follow(&self, request: FollowRequest) -> ControlReply {
         let mut versions = self.control.shared.versions();
-        let hold = tokio::time::sleep(Duration::from_millis(HOLD_MS));
+        let hold = tokio::time::sleep(Duration::from_millis(MAX_POLL_WAIT_MS));
         tokio::pin!(hold);
         if request.phase == MemberPhase::Gone {
             return self.end_follower(&request);
--- a/crates/coursestand-daemon/src/control/leader.rs
+++ b/crates/coursestand-daemon/src/control/leader.rs
@@ -204,7 +204,7 @@
         .releases()
         .iter()
         .filter_map(|release| {
-            let settled = tenure.registry.settled_by(&release.daemon)?;
+            let settled = tenure.registry.settled_version(&release.daemon)?;
             (settled >= release.version).then(|| (release.daemon.clone(), settled))
         })
         .collect();
--- a/crates/coursestand-daemon/src/control/tenure.rs
+++ b/crates/coursestand-daemon/src/control/tenure.rs
@@ -54,12 +54,12 @@
         };
         if request.phase == MemberPhase::Gone {
             // It has stopped deciding and nothing of it is in flight.
-            self.registry.end(&request.daemon);
+            self.registry.end_lease(&request.daemon);
             self.stopped.insert(request.daemon.clone());
         }
         // A request that was held may be older than one answered before it.
         let seen = self.seen.get(&request.daemon);
-        if seen.is_none_or(|seen| seen.is_followed_by(&member)) {
+        if seen.is_none_or(|seen| seen.is_superseded_by(&member)) {
             self.seen.insert(request.daemon.clone(), member);
         }
     }
@@ -114,7 +114,7 @@
             .collect();
         for (daemon, member) in &self.seen {
             let known = current.get(&daemon.name);
-            if known.is_none_or(|known| known.is_followed_by(member)) {
+            if known.is_none_or(|known| known.is_superseded_by(member)) {
                 current.insert(daemon.name.clone(), member.clone());
             }
         }
@@ -139,17 +139,17 @@
 
     /// Whether nothing that this daemon dispatched can be in flight.
     pub fn is_over(&self, now: Millis, daemon: &DaemonId, grace: Millis) -> bool {
-        self.stopped.contains(daemon) || self.registry.is_over(now, daemon, grace)
+        self.stopped.contains(daemon) || self.registry.has_lease_expired(now, daemon, grace)
     }
 
     /// Forgets daemons whose leases and requests have ended.
     pub fn forget_ended(&mut self, now: Millis, grace: Millis) {
-        self.registry.forget_ended(now, grace);
+        self.registry.remove_expired(now, grace);
         self.reports
             .retain(|_, report| now < report.at + REPORT_LIFETIME_MS);
         let registry = &self.registry;
         self.seen
-            .retain(|daemon, _| !registry.is_over(now, daemon, grace));
+            .retain(|daemon, _| !registry.has_lease_expired(now, daemon, grace));
     }
 
     /// Demand by the reports that still count.
--- a/crates/coursestand-daemon/src/entry/follower.rs
+++ b/crates/coursestand-daemon/src/entry/follower.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use coursestand_coordination::Tables;
-use coursestand_coordination::followers::{HOLD_MS, follower_lease_ms};
+use coursestand_coordination::followers::{MAX_POLL_WAIT_MS, follower_lease_ms};
 use coursestand_coordination::tables::MemberPhase;
 use coursestand_coordination::wire::{ControlReply, ControlRequest, FollowRequest};
 use coursestand_gateway::Shared;
@@ -20,7 +20,7 @@
 
 const LOG: &str = "follower";
 /// Time for one replica to answer: the hold and two slow round trips.
-const ATTEMPT: Duration = Duration::from_millis(HOLD_MS + 500);
+const ATTEMPT: Duration = Duration::from_millis(MAX_POLL_WAIT_MS + 500);
 /// Pause after the control group gave no answer.
 const PAUSE: Duration = Duration::from_millis(50);
 /// Longest wait for the control group to take the last message.
--- a/crates/coursestand-daemon/src/fleet/catalog_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_follower.rs
@@ -74,19 +74,19 @@
             info!(target: LOG, control:% = from, since = delta.since, catalog = version;
                 "changes are left out: earlier ones are missing");
         }
-        self.catch_up().note_told(from, version);
+        self.catch_up().note_available(from, version);
         if self.state.adopt_catalog(delta) {
             info!(target: LOG, control:% = from, catalog = version, items = items;
                 "the catalog changed");
         }
         let held = self.version();
-        self.catch_up().hold(held);
-        self.freshness().hold(held);
+        self.catch_up().advance_version(held);
+        self.freshness().advance_version(held);
     }
 
     /// `from` has the catalog up to this change.
     pub fn note_told(&self, from: SocketAddr, version: u64) {
-        self.catch_up().note_told(from, version);
+        self.catch_up().note_available(from, version);
     }
 
     /// `from` was asked at `asked_at` how far its log reaches; its catalog is at `version`.
@@ -101,7 +101,7 @@
     pub fn should_fetch(&self, from: SocketAddr, patience: Duration) -> bool {
         let now = self.state.now();
         let patience_ms = patience.as_millis() as Millis;
-        self.catch_up().should_ask(&from, now, patience_ms)
+        self.catch_up().should_request(&from, now, patience_ms)
     }
 
     /// A part of what `from` was asked for came.
