--- a/crates/coursestand-gateway/src/gateway.rs
+++ b/crates/coursestand-gateway/src/gateway.rs
@@ -150,8 +150,8 @@
                     let shared = Arc::clone(&self.shared);
                     return Ok(SlotGuard::new(shared, ticket, lease_until));
                 }
-                Admission::Full => return Err(self.refuse(Reason::NoSlot)),
-                Admission::Nowhere => return Err(self.refuse(Reason::NoZone)),
+                Admission::QueueFull => return Err(self.refuse(Reason::NoSlot)),
+                Admission::NoBackends => return Err(self.refuse(Reason::NoZone)),
                 Admission::Wait(pool) => pool,
             };
             if waiting.is_none() {
@@ -165,7 +165,7 @@
             // Registered before looking again, so that no wake-up is missed.
             freed.as_mut().enable();
             lease_until = self.shared.lease.until();
-            admission = self.shared.steering().take(pool, excluded);
+            admission = self.shared.steering().admit_to_pool(pool, excluded);
             if matches!(admission, Admission::Dispatch(_)) {
                 continue;
             }
@@ -173,8 +173,8 @@
                 return Err(self.refuse(Reason::NoSlot));
             }
             lease_until = self.shared.lease.until();
-            admission = self.shared.steering().take(pool, excluded);
-            if matches!(admission, Admission::Full) {
+            admission = self.shared.steering().admit_to_pool(pool, excluded);
+            if matches!(admission, Admission::QueueFull) {
                 admission = Admission::Wait(pool);
             }
         }
@@ -288,7 +288,7 @@
     async fn other_slot(&self, failed: &Ticket, limits: WaitLimits) -> Result<SlotGuard, Answer> {
         let excluded = Some(failed.backend);
         let lease_until = self.shared.lease.until();
-        let admission = self.shared.steering().take(failed.pool, excluded);
+        let admission = self.shared.steering().admit_to_pool(failed.pool, excluded);
         self.wait_for_slot(admission, lease_until, excluded, limits)
             .await
     }
--- a/crates/coursestand-gateway/src/shared.rs
+++ b/crates/coursestand-gateway/src/shared.rs
@@ -48,7 +48,7 @@
 
     /// Gives a slot back and wakes one request that waits for it.
     pub fn free_slot(&self, ticket: &Ticket) {
-        self.steering().give_back(ticket);
+        self.steering().release_slot(ticket);
         self.notify_of(ticket.pool).notify_one();
     }
 
--- a/crates/coursestand-steering/benches/decision.rs
+++ b/crates/coursestand-steering/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Time of one decision (admit and give back) at 400 sites in 41 zones, and of
-//! one look-up in the table of 350,000 client blocks.
+//! Benchmarks of one decision (admission and release of the slot) with 400 back ends in
+//! 41 zones, and of one look-up in a table of 350,000 client blocks.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 
 const ZONES: usize = 41;
-const SITES: usize = 400;
-const BLOCKS: u32 = 350_000;
+const BACKENDS: usize = 400;
+const CLIENT_BLOCKS: u32 = 350_000;
 
 fn zone(index: usize) -> ZoneId {
     ZoneId(format!("zone-{index:02}"))
@@ -77,12 +77,12 @@
     };
     tables.bundle.set((), in_force, 1);
     let mut slots = BTreeMap::new();
-    for site in 0..SITES {
-        let id = BackendId(format!("site-{site:03}"));
+    for index in 0..BACKENDS {
+        let id = BackendId(format!("site-{index:03}"));
         let record = PlatformBackend {
             id: id.clone(),
             service: "service".into(),
-            zone: zone(site % ZONES),
+            zone: zone(index % ZONES),
             address: "127.0.0.1:1".to_owned(),
             slots: 4,
             connections: 130,
@@ -112,7 +112,7 @@
         bencher.iter(|| {
             let admission = steering.admit(black_box(&service), black_box(&origin));
             if let Admission::Dispatch(ticket) = &admission {
-                steering.give_back(ticket);
+                steering.release_slot(ticket);
             }
             admission
         });
@@ -120,7 +120,7 @@
 }
 
 fn client_blocks(criterion: &mut Criterion) {
-    let blocks: Vec<ClientBlock> = (0..BLOCKS)
+    let blocks: Vec<ClientBlock> = (0..CLIENT_BLOCKS)
         .map(|index| {
             let address = std::net::Ipv4Addr::from((10 << 24) | (index << 4));
             ClientBlock {
@@ -136,7 +136,7 @@
     criterion.bench_function("client-block/350000-blocks", |bencher| {
         bencher.iter(|| {
             index = index.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-            let address = (10 << 24) | (index % (BLOCKS << 4));
+            let address = (10 << 24) | (index % (CLIENT_BLOCKS << 4));
             table
                 .zone_of(black_box(IpAddr::V4(address.into())))
                 .is_some()
--- a/crates/coursestand-steering/src/backends.rs
+++ b/crates/coursestand-steering/src/backends.rs
@@ -1,5 +1,5 @@
-//! Back ends as one daemon sees them: the slots that it holds, how many it uses,
-//! and what it knows of their health.
+//! One daemon's view of the back ends: the slots that it holds and uses, and the health
+//! that it observes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,49 +10,49 @@
 
 use crate::demand::PeakDemand;
 
-/// Failures in a row after which a back end gets no requests until it answers a
+/// Consecutive failures after which a back end gets no requests until it answers a
 /// probe.
 pub const FAILURES_UNTIL_UNREACHABLE: u32 = 3;
-/// Weight of the newest latency in the moving average, as one part in this many.
-const LATENCY_SMOOTHING: f64 = 8.0;
+/// Divisor for the weight of the newest latency in the moving average.
+const LATENCY_SMOOTHING_DIVISOR: f64 = 8.0;
 
-/// Position of a back end in the table; stays valid for the life of the table.
+/// Index of a back end in the table; valid for the lifetime of the table.
 pub type BackendIndex = usize;
-/// Position of a pool in the table.
+/// Index of a pool in the table.
 pub type PoolIndex = usize;
 
-/// One back end as this daemon sees it.
+/// This daemon's view of one back end.
 #[derive(Clone, Debug)]
 pub struct Backend {
     /// Its name.
     pub id: BackendId,
     /// `IP:port`.
     pub address: Arc<str>,
-    /// The start of the back end that this row tells of.
+    /// Epoch of the back end's start that this row describes.
     pub epoch: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: BackendState,
     /// Slots that this daemon holds.
     pub slots: u32,
     /// Slots that this daemon uses.
     pub in_use: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Moving average of the time to answer, in milliseconds.
+    /// Moving average of the response latency in milliseconds.
     pub latency_ms: f64,
-    /// Load that the back end reported last, by all daemons. Shown to people and
-    /// not steered by: slots are exact, reports lag and mislead.
+    /// Last load reported by the back end, over all daemons. For display only: slots are
+    /// exact, whereas reports lag and mislead.
     pub reported_running: Option<u32>,
     pool: PoolIndex,
 }
 
 impl Backend {
-    /// Whether it gets requests when it has a free slot.
+    /// Whether it may get requests while it has a free slot.
     pub fn is_usable(&self) -> bool {
         self.state == BackendState::Live && self.failures < FAILURES_UNTIL_UNREACHABLE
     }
 
-    /// Whether the slots in use don't exceed the slots held.
+    /// Whether the slots in use are within the slots held.
     pub fn is_within_slots(&self) -> bool {
         self.in_use <= self.slots
     }
@@ -67,7 +67,7 @@
 pub struct Pool {
     /// Members of the pool.
     pub members: Vec<BackendIndex>,
-    /// Demand for its slots.
+    /// Peak demand for its slots.
     pub demand: PeakDemand,
     /// Requests that wait for a slot.
     pub waiting: u32,
@@ -79,63 +79,63 @@
     backends: Vec<Backend>,
     by_id: HashMap<BackendId, BackendIndex>,
     pools: Vec<Pool>,
-    by_place: BTreeMap<(ServiceId, ZoneId), PoolIndex>,
+    by_service_and_zone: BTreeMap<(ServiceId, ZoneId), PoolIndex>,
 }
 
-/// What the control state says of a back end.
-pub struct BackendNews<'a> {
+/// A back end's row of the control state.
+pub struct BackendUpdate<'a> {
     /// Its name.
     pub id: &'a BackendId,
-    /// Service that it implements.
+    /// Service that it serves.
     pub service: &'a ServiceId,
     /// Zone in which it runs.
     pub zone: &'a ZoneId,
     /// `IP:port`.
     pub address: &'a str,
-    /// Grows with each start.
+    /// Epoch, which increases with each start.
     pub epoch: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: BackendState,
 }
 
 impl BackendTable {
-    /// Takes over a row of the control state.
-    pub fn update(&mut self, news: &BackendNews<'_>) {
-        let pool = self.pool_for(news.service, news.zone);
-        let Some(&index) = self.by_id.get(news.id) else {
-            self.insert(news, pool);
+    /// Applies a row of the control state.
+    pub fn update(&mut self, update: &BackendUpdate<'_>) {
+        let pool = self.pool_for(update.service, update.zone);
+        let Some(&index) = self.by_id.get(update.id) else {
+            self.insert(update, pool);
             return;
         };
         let backend = &mut self.backends[index];
-        if backend.epoch > news.epoch {
+        if backend.epoch > update.epoch {
             return;
         }
-        if backend.epoch == news.epoch {
-            // Within one epoch "leaving" never turns back to "live".
-            backend.state = backend.state.max(news.state);
+        if backend.epoch == update.epoch {
+            // Within one epoch "leaving" never reverts to "live".
+            backend.state = backend.state.max(update.state);
         } else {
-            backend.epoch = news.epoch;
-            backend.state = news.state;
+            backend.epoch = update.epoch;
+            backend.state = update.state;
             backend.failures = 0;
         }
-        backend.address = news.address.into();
+        backend.address = update.address.into();
         if backend.pool != pool {
-            let earlier = backend.pool;
+            let previous = backend.pool;
             backend.pool = pool;
-            self.pools[earlier]
+            self.pools[previous]
                 .members
                 .retain(|member| *member != index);
             self.pools[pool].members.push(index);
         }
     }
 
-    fn insert(&mut self, news: &BackendNews<'_>, pool: PoolIndex) {
+    fn insert(&mut self, update: &BackendUpdate<'_>, pool: PoolIndex) {
         let index = self.backends.len();
         self.backends.push(Backend {
-            id: news.id.clone(),
-            address: news.address.into(),
-            epoch: news.epoch,
-            state: news.state,
+            id: update.id.clone(),
+            address: update.address.into(),
+            epoch: update.epoch,
+            state: update.state,
             slots: 0,
             in_use: 0,
             failures: 0,
@@ -143,54 +143,56 @@
             reported_running: None,
             pool,
         });
-        self.by_id.insert(news.id.clone(), index);
+        self.by_id.insert(update.id.clone(), index);
         self.pools[pool].members.push(index);
     }
 
     fn pool_for(&mut self, service: &ServiceId, zone: &ZoneId) -> PoolIndex {
-        let place = (service.clone(), zone.clone());
+        let key = (service.clone(), zone.clone());
         let pools = &mut self.pools;
-        *self.by_place.entry(place).or_insert_with(|| {
+        *self.by_service_and_zone.entry(key).or_insert_with(|| {
             pools.push(Pool::default());
             pools.len() - 1
         })
     }
 
-    /// Takes over the slots that this daemon holds.
+    /// Sets the slots that this daemon holds.
     pub fn set_slots(&mut self, slots: &SlotMap) {
         for backend in &mut self.backends {
             backend.slots = slots.get(&backend.id).copied().unwrap_or(0);
         }
     }
 
-    /// Whether no back end runs more of our requests than we hold slots on it.
+    /// Whether this daemon's requests on every back end are within the slots held.
     pub fn is_within_slots(&self) -> bool {
         self.backends.iter().all(Backend::is_within_slots)
     }
 
-    /// The pool of a service in a zone.
+    /// Returns the pool of a service in a zone.
     pub fn pool_index(&self, service: &ServiceId, zone: &ZoneId) -> Option<PoolIndex> {
-        self.by_place.get(&(service.clone(), zone.clone())).copied()
+        self.by_service_and_zone
+            .get(&(service.clone(), zone.clone()))
+            .copied()
     }
 
-    /// A pool.
+    /// Returns a pool.
     pub fn pool(&self, pool: PoolIndex) -> &Pool {
         &self.pools[pool]
     }
 
-    /// A pool, to change its counters.
+    /// Returns a pool for updating its counters.
     pub fn pool_mut(&mut self, pool: PoolIndex) -> &mut Pool {
         &mut self.pools[pool]
     }
 
-    /// All pools with their service and zone.
+    /// Iterates over the pools with their service and zone.
     pub fn pools(&self) -> impl Iterator<Item = (&ServiceId, &ZoneId, PoolIndex)> {
-        self.by_place
+        self.by_service_and_zone
             .iter()
             .map(|((service, zone), pool)| (service, zone, *pool))
     }
 
-    /// Starts a new period of demand in every pool.
+    /// Starts a new demand period in every pool.
     pub fn start_demand_period(&mut self) {
         for pool in 0..self.pools.len() {
             let (_, used) = self.pool_slots(pool);
@@ -198,23 +200,23 @@
         }
     }
 
-    /// All back ends.
+    /// Iterates over the back ends.
     pub fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.backends.iter()
     }
 
-    /// A back end.
+    /// Returns the back end at `index`.
     pub fn get(&self, index: BackendIndex) -> &Backend {
         &self.backends[index]
     }
 
-    /// A back end by name.
+    /// Returns the back end named `id`.
     pub fn find(&mut self, id: &BackendId) -> Option<&mut Backend> {
         let index = *self.by_id.get(id)?;
         Some(&mut self.backends[index])
     }
 
-    /// Slots held and slots used in a pool.
+    /// Returns the slots held and the slots used in a pool.
     pub fn pool_slots(&self, pool: PoolIndex) -> (u32, u32) {
         self.pools[pool]
             .members
@@ -225,9 +227,10 @@
             })
     }
 
-    /// Takes a slot on the usable back end of the pool with the lowest part of
-    /// its slots in use; among equals the one that answered fastest.
-    pub fn take_slot(
+    /// Acquires a slot on the usable back end of the pool with the lowest fraction of its
+    /// slots in use; among equals, on the one with the lowest latency. Returns `None` if no
+    /// slot is free.
+    pub fn acquire_slot(
         &mut self,
         pool: PoolIndex,
         excluded: Option<BackendIndex>,
@@ -252,28 +255,28 @@
         Some(chosen)
     }
 
-    /// Gives a slot back; returns its pool.
-    pub fn give_back(&mut self, index: BackendIndex) -> PoolIndex {
+    /// Releases a slot. Returns its pool.
+    pub fn release_slot(&mut self, index: BackendIndex) -> PoolIndex {
         let backend = &mut self.backends[index];
-        debug_assert!(backend.in_use > 0, "a slot is given back once");
+        debug_assert!(backend.in_use > 0, "a slot is released once");
         backend.in_use = backend.in_use.saturating_sub(1);
         backend.pool
     }
 
-    /// Notes an answer after `latency_ms`.
+    /// Records an answer that took `latency_ms`.
     pub fn note_answer(&mut self, index: BackendIndex, latency_ms: f64) {
         let backend = &mut self.backends[index];
         backend.failures = 0;
-        backend.latency_ms += (latency_ms - backend.latency_ms) / LATENCY_SMOOTHING;
+        backend.latency_ms += (latency_ms - backend.latency_ms) / LATENCY_SMOOTHING_DIVISOR;
     }
 
-    /// Notes that a request or probe got no answer.
+    /// Records that a request or probe got no answer.
     pub fn note_failure(&mut self, index: BackendIndex) {
         let backend = &mut self.backends[index];
         backend.failures = backend.failures.saturating_add(1);
     }
 
-    /// Notes that the back end answered a probe.
+    /// Records whether the back end answered a probe.
     pub fn note_probe(&mut self, id: &BackendId, answered: bool) {
         if let Some(backend) = self.find(id) {
             backend.failures = if answered {
@@ -284,7 +287,8 @@
         }
     }
 
-    /// Notes that a back end said it is leaving. Returns whether that was news.
+    /// Records that a back end announced that it is leaving. Returns whether its state
+    /// changed.
     pub fn note_leaving(&mut self, id: &BackendId, epoch: u64) -> bool {
         let Some(backend) = self.find(id) else {
             return false;
--- a/crates/coursestand-steering/src/clients.rs
+++ b/crates/coursestand-steering/src/clients.rs
@@ -1,4 +1,4 @@
-//! The zone nearest to a client, by the longest matching address block.
+//! Finds the zone of a client by longest-prefix match over address blocks.
 
 use std::net::IpAddr;
 
@@ -15,7 +15,7 @@
 }
 
 impl ClientBlocks {
-    /// Builds the table of a bundle's blocks.
+    /// Builds the table from a bundle's blocks.
     pub fn new(blocks: &[ClientBlock]) -> ClientBlocks {
         let mut table = ClientBlocks::default();
         for client in blocks {
@@ -27,7 +27,7 @@
         table
     }
 
-    /// The zone of `address`, if any block covers it.
+    /// Returns the zone of the longest block that contains `address`, if any.
     pub fn zone_of(&self, address: IpAddr) -> Option<&ZoneId> {
         match address {
             IpAddr::V4(address) => {
--- a/crates/coursestand-steering/src/demand.rs
+++ b/crates/coursestand-steering/src/demand.rs
@@ -1,7 +1,7 @@
 //! Peak demand for slots over the last one to two periods.
 
-/// Peak of what was in flight, waiting or refused, kept for two periods so that
-/// a peak just before the end of a period is not lost.
+/// Peak number of requests in flight, waiting or refused. Covers the current and the
+/// previous period, so that a peak just before the end of a period is not lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeakDemand {
     current: u32,
@@ -9,12 +9,12 @@
 }
 
 impl PeakDemand {
-    /// Notes that `wanted` slots would be in use now.
-    pub fn note(&mut self, wanted: u32) {
+    /// Records a demand for `wanted` slots.
+    pub fn record(&mut self, wanted: u32) {
         self.current = self.current.max(wanted);
     }
 
-    /// The peak.
+    /// Returns the peak of the current and the previous period.
     pub fn peak(&self) -> u32 {
         self.current.max(self.previous)
     }
--- a/crates/coursestand-steering/src/lookup.rs
+++ b/crates/coursestand-steering/src/lookup.rs
@@ -1,5 +1,5 @@
-//! Which entry daemons a caller should use: the nearest first, and callers of
-//! one zone spread evenly over equally near daemons.
+//! Selects the entry daemons that a caller should use: those with the lowest latency
+//! first. Callers of one zone are spread evenly over daemons of equal latency.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,7 +7,7 @@
 use coursestand_coordination::tables::{MemberPhase, Tables};
 use coursestand_model::{Bundle, ZoneId};
 
-/// An entry daemon as a look-up names it.
+/// An entry daemon in the answer to a look-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryDaemon {
     /// Name of the daemon.
@@ -21,14 +21,14 @@
 /// Entry daemons of equal latency.
 type Tier = Vec<EntryDaemon>;
 
-/// Entry daemons by client zone, nearest tier first.
+/// Entry daemons by client zone, in tiers of increasing latency.
 #[derive(Clone, Debug, Default)]
 pub struct EntryDirectory {
     by_zone: BTreeMap<ZoneId, Vec<Tier>>,
 }
 
 impl EntryDirectory {
-    /// Sorts the serving members for every zone of the bundle.
+    /// Builds the tiers of serving members for every zone of the bundle.
     pub fn new(bundle: &Bundle, tables: &Tables) -> EntryDirectory {
         let serving: Vec<EntryDaemon> = tables
             .members
@@ -49,7 +49,7 @@
         EntryDirectory { by_zone }
     }
 
-    /// Up to `limit` entry daemons for `client` in `origin`, in the order in
+    /// Returns up to `limit` entry daemons for `client` in `origin`, in the order in
     /// which to try them.
     pub fn lookup(&self, origin: &ZoneId, client: &str, limit: usize) -> Vec<&EntryDaemon> {
         let Some(tiers) = self.by_zone.get(origin) else {
--- a/crates/coursestand-steering/src/round_robin.rs
+++ b/crates/coursestand-steering/src/round_robin.rs
@@ -1,52 +1,52 @@
-//! Splits requests over zones by exact counting (smooth weighted round robin):
-//! after any number of requests each zone has got its share, give or take one
-//! request. Random sampling would overshoot a shift cap; this does not.
+//! Smooth weighted round robin: after any number of requests, the count of each zone
+//! deviates from its share by less than the number of zones. Random sampling could
+//! exceed a shift cap.
 
 use coursestand_coordination::shares::ShareVector;
 use coursestand_model::{FULL_SHARE, ZoneId};
 
 #[derive(Clone, Debug)]
-struct Spoke {
+struct WeightedZone {
     zone: ZoneId,
     share: i64,
     credit: i64,
 }
 
-/// Deals requests to zones in proportion to their shares.
+/// Distributes requests over zones in proportion to their shares.
 #[derive(Clone, Debug, Default)]
-pub struct ShareWheel {
-    spokes: Vec<Spoke>,
+pub struct WeightedRoundRobin {
+    zones: Vec<WeightedZone>,
 }
 
-impl ShareWheel {
-    /// Takes new shares over. Zones that stay keep their credit, so a change of
-    /// shares can't give a zone more than its share again and again.
-    pub fn replace(&mut self, shares: &ShareVector) {
-        let earlier = std::mem::take(&mut self.spokes);
-        self.spokes = shares
+impl WeightedRoundRobin {
+    /// Sets the shares. Zones that remain keep their credit, so that repeated changes of
+    /// the shares can't give a zone more than its share.
+    pub fn set_shares(&mut self, shares: &ShareVector) {
+        let previous = std::mem::take(&mut self.zones);
+        self.zones = shares
             .0
             .iter()
-            .map(|(zone, share)| Spoke {
+            .map(|(zone, share)| WeightedZone {
                 zone: zone.clone(),
                 share: i64::from(*share),
-                credit: earlier
+                credit: previous
                     .iter()
-                    .find(|spoke| spoke.zone == *zone)
-                    .map_or(0, |spoke| spoke.credit),
+                    .find(|candidate| candidate.zone == *zone)
+                    .map_or(0, |found| found.credit),
             })
             .collect();
     }
 
-    /// The zone for the next request.
-    pub fn deal(&mut self) -> Option<&ZoneId> {
-        for spoke in &mut self.spokes {
-            spoke.credit += spoke.share;
+    /// Returns the zone for the next request, or `None` if no zone has a share.
+    pub fn next_zone(&mut self) -> Option<&ZoneId> {
+        for zone in &mut self.zones {
+            zone.credit += zone.share;
         }
         let chosen = self
-            .spokes
+            .zones
             .iter_mut()
-            .filter(|spoke| spoke.share > 0)
-            .max_by_key(|spoke| spoke.credit)?;
+            .filter(|zone| zone.share > 0)
+            .max_by_key(|zone| zone.credit)?;
         chosen.credit -= i64::from(FULL_SHARE);
         Some(&chosen.zone)
     }
--- a/crates/coursestand-steering/src/steering.rs
+++ b/crates/coursestand-steering/src/steering.rs
@@ -1,4 +1,4 @@
-//! The decision for each request, as a state machine without I/O.
+//! The routing decision for each request, as a state machine without I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -11,61 +11,61 @@
 use coursestand_model::bundle::Service;
 use coursestand_model::{Bundle, DaemonId, ServiceId, ZoneId};
 
-use crate::backends::{BackendIndex, BackendNews, BackendTable, PoolIndex};
+use crate::backends::{BackendIndex, BackendTable, BackendUpdate, PoolIndex};
 use crate::clients::ClientBlocks;
 use crate::lookup::EntryDirectory;
-use crate::wheel::ShareWheel;
+use crate::round_robin::WeightedRoundRobin;
 
-/// Requests that may wait for a slot, for each slot that the daemon holds.
-const WAITING_PER_SLOT: u32 = 2;
-/// Requests that may wait while the daemon holds few slots.
-const WAITING_MIN: u32 = 4;
+/// Requests that may wait for a slot, per slot that the daemon holds.
+const MAX_WAITING_PER_SLOT: u32 = 2;
+/// Lower bound of the number of requests that may wait, for a daemon with few slots.
+const MIN_WAITING_LIMIT: u32 = 4;
 
-/// A bundle in force, ready for decisions.
+/// The bundle in force, prepared for decisions.
 pub struct Rules {
-    /// Its revision.
+    /// Revision of the bundle.
     pub revision: u64,
     /// The bundle.
     pub bundle: Bundle,
-    /// Its client blocks.
+    /// Client blocks of the bundle.
     pub clients: ClientBlocks,
 }
 
-/// A slot that a request uses. Give it back with [`Steering::give_back`].
+/// A slot that a request uses. Release it with [`Steering::release_slot`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The back end.
     pub backend: BackendIndex,
-    /// Its pool.
+    /// Pool of the back end.
     pub pool: PoolIndex,
 }
 
 /// The decision for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it to this back end.
+    /// Dispatch the request to this back end.
     Dispatch(Ticket),
-    /// No slot is free in the zone that was chosen; it may wait for one.
+    /// No slot is free in the chosen zone; the request may wait for one.
     Wait(PoolIndex),
-    /// No slot is free and enough requests wait already.
-    Full,
+    /// No slot is free and the limit of waiting requests is reached.
+    QueueFull,
     /// No zone has a share of this traffic, or the zone has no back ends.
-    Nowhere,
+    NoBackends,
 }
 
-/// Decides for one daemon.
+/// Makes the routing decisions of one daemon.
 pub struct Steering {
     daemon: DaemonId,
     version: ControlVersion,
     settled: ControlVersion,
     rules: Option<Arc<Rules>>,
     directory: Arc<EntryDirectory>,
-    wheels: HashMap<ServiceId, BTreeMap<ZoneId, ShareWheel>>,
+    balancers: HashMap<ServiceId, BTreeMap<ZoneId, WeightedRoundRobin>>,
     backends: BackendTable,
 }
 
 impl Steering {
-    /// A steering that decides on nothing yet.
+    /// Creates the state of a daemon without control state; it makes no decisions yet.
     pub fn new(daemon: DaemonId) -> Steering {
         Steering {
             daemon,
@@ -73,12 +73,13 @@
             settled: 0,
             rules: None,
             directory: Arc::default(),
-            wheels: HashMap::new(),
+            balancers: HashMap::new(),
             backends: BackendTable::default(),
         }
     }
 
-    /// Takes over control state. The version never falls.
+    /// Applies control state; ignores an older version. Returns an error if the bundle in
+    /// force is not valid JSON.
     pub fn apply(&mut self, tables: &Tables) -> Result<(), serde_json::Error> {
         if tables.version <= self.version {
             return Ok(());
@@ -88,7 +89,7 @@
             self.directory = Arc::new(EntryDirectory::new(&rules.bundle, tables));
         }
         for (id, record) in tables.backends.iter() {
-            self.backends.update(&BackendNews {
+            self.backends.update(&BackendUpdate {
                 id,
                 service: &record.service,
                 zone: &record.zone,
@@ -101,8 +102,11 @@
         let slots = tables.slots.get(&self.daemon).unwrap_or(&none);
         self.backends.set_slots(slots);
         for (ShareKey { service, origin }, shares) in tables.shares.iter() {
-            let wheels = self.wheels.entry(service.clone()).or_default();
-            wheels.entry(origin.clone()).or_default().replace(shares);
+            let balancers = self.balancers.entry(service.clone()).or_default();
+            balancers
+                .entry(origin.clone())
+                .or_default()
+                .set_shares(shares);
         }
         self.version = tables.version;
         Ok(())
@@ -112,8 +116,8 @@
         let Some(in_force) = in_force else {
             return Ok(());
         };
-        let known = self.rules.as_ref().map(|rules| rules.revision);
-        if known == Some(in_force.revision) {
+        let current = self.rules.as_ref().map(|rules| rules.revision);
+        if current == Some(in_force.revision) {
             return Ok(());
         }
         let bundle: Bundle = serde_json::from_str(&in_force.content)?;
@@ -125,7 +129,7 @@
         Ok(())
     }
 
-    /// What this daemon decides on, to be confirmed to its source.
+    /// Returns the versions that this daemon's decisions use, to be confirmed to its source.
     pub fn progress(&mut self) -> Progress {
         if self.backends.is_within_slots() {
             self.settled = self.version;
@@ -146,46 +150,46 @@
         Arc::clone(&self.directory)
     }
 
-    /// Back ends as this daemon sees them.
+    /// This daemon's view of the back ends.
     pub fn backends(&self) -> &BackendTable {
         &self.backends
     }
 
-    /// Back ends, to note news of them.
+    /// This daemon's view of the back ends, to record changes of their state.
     pub fn backends_mut(&mut self) -> &mut BackendTable {
         &mut self.backends
     }
 
-    /// Decides for a new request: the zone by the shares in force, then the
-    /// back end. The request counts as offered traffic, whatever follows.
+    /// Decides on a new request: selects the zone by the shares in force, then the back
+    /// end. The request counts as offered traffic whatever the outcome.
     pub fn admit(&mut self, service: &ServiceId, origin: &ZoneId) -> Admission {
         let zone = self
-            .wheels
+            .balancers
             .get_mut(service)
-            .and_then(|wheels| wheels.get_mut(origin))
-            .and_then(ShareWheel::deal);
+            .and_then(|balancers| balancers.get_mut(origin))
+            .and_then(WeightedRoundRobin::next_zone);
         let Some(pool) = zone.and_then(|zone| self.backends.pool_index(service, zone)) else {
-            return Admission::Nowhere;
+            return Admission::NoBackends;
         };
-        self.take(pool, None)
+        self.admit_to_pool(pool, None)
     }
 
-    /// Decides again for a request whose zone is chosen: after a wait, or after
-    /// the back end `excluded` did not run it. It stays in its zone, so a retry
-    /// moves no traffic between zones.
-    pub fn take(&mut self, pool: PoolIndex, excluded: Option<BackendIndex>) -> Admission {
-        let taken = self.backends.take_slot(pool, excluded);
+    /// Decides on a request whose zone is already chosen: after a wait, or after the back
+    /// end `excluded` did not run it. The request stays in its zone, so that a retry moves
+    /// no traffic between zones.
+    pub fn admit_to_pool(&mut self, pool: PoolIndex, excluded: Option<BackendIndex>) -> Admission {
+        let acquired = self.backends.acquire_slot(pool, excluded);
         let (held, used) = self.backends.pool_slots(pool);
         let entry = self.backends.pool_mut(pool);
-        if let Some(backend) = taken {
-            entry.demand.note(used + entry.waiting);
+        if let Some(backend) = acquired {
+            entry.demand.record(used + entry.waiting);
             return Admission::Dispatch(Ticket { backend, pool });
         }
-        entry.demand.note(used + entry.waiting + 1);
-        if entry.waiting < WAITING_MIN.max(held * WAITING_PER_SLOT) {
+        entry.demand.record(used + entry.waiting + 1);
+        if entry.waiting < MIN_WAITING_LIMIT.max(held * MAX_WAITING_PER_SLOT) {
             Admission::Wait(pool)
         } else {
-            Admission::Full
+            Admission::QueueFull
         }
     }
 
@@ -194,18 +198,18 @@
         self.backends.pool_mut(pool).waiting += 1;
     }
 
-    /// A request no longer waits for a slot of `pool`.
+    /// Counts a request as no longer waiting for a slot of `pool`.
     pub fn stop_waiting(&mut self, pool: PoolIndex) {
         let entry = self.backends.pool_mut(pool);
         entry.waiting = entry.waiting.saturating_sub(1);
     }
 
-    /// Gives the slot of a request back.
-    pub fn give_back(&mut self, ticket: &Ticket) {
-        self.backends.give_back(ticket.backend);
+    /// Releases the slot of a request.
+    pub fn release_slot(&mut self, ticket: &Ticket) {
+        self.backends.release_slot(ticket.backend);
     }
 
-    /// Demand for slots over the last one to two periods.
+    /// Returns the peak demand for slots over the current and the previous period.
     pub fn demand(&self) -> Vec<DemandRow> {
         self.backends
             .pools()
@@ -218,14 +222,14 @@
             .collect()
     }
 
-    /// Starts a new period of demand.
+    /// Starts a new demand period.
     pub fn start_demand_period(&mut self) {
         self.backends.start_demand_period();
     }
 }
 
 impl Rules {
-    /// The zone of a client, given as an address or as the name of a zone.
+    /// Returns the zone of a client, given as an address or as the name of a zone.
     pub fn origin_of(&self, client: &str) -> Option<ZoneId> {
         if let Ok(address) = client.parse::<IpAddr>() {
             return self.clients.zone_of(address).cloned();
@@ -233,7 +237,7 @@
         self.bundle.zones().find(|zone| zone.0 == client).cloned()
     }
 
-    /// A service of the bundle.
+    /// Returns a service of the bundle.
     pub fn service(&self, id: &ServiceId) -> Option<&Service> {
         self.bundle.service(id)
     }
