--- a/crates/coursestand-daemon/src/fleet/edge_service.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_service.rs
@@ -20,9 +20,9 @@
 use coursestand_proxy::{EdgeState, Exchange, ProxyServer};
 use coursestand_routing::Backend;
 use coursestand_routing::RetryLimits;
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::ColdLimits;
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use log::info;
 use poem::http::StatusCode;
 use poem::{Request, Response};
@@ -91,8 +91,8 @@
             .set(count(&|backend| backend.is_ejected(now)));
         self.metrics
             .backing_off
-            .set(count(&|backend| backend.backs_off(now)));
-        let limited = beliefs.backends.limited();
+            .set(count(&|backend| backend.is_backing_off(now)));
+        let limited = beliefs.backends.limited_count();
         self.metrics.rate_limited.set(limited as i64);
         let cases = beliefs.fatal.views(now);
         let convicted = cases.iter().filter(|case| case.rejected_ms > 0).count();
@@ -113,7 +113,7 @@
             self.exchange.metrics().show_retries(service);
             let budget = beliefs.budgets.get(service);
             let left = budget.map(|budget| budget.left(now, limits, allowance));
-            let held = budget.map(|budget| budget.held(now, limits) as f64);
+            let held = budget.map(|budget| budget.withheld(now, limits) as f64);
             let service = [service.as_str()];
             let metrics = &self.metrics;
             let show = |gauge: &GaugeVec, value: Option<f64>| {
@@ -165,7 +165,7 @@
         let balance = &self.settings.balance;
         Balance {
             hard_load: balance.hard_load,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: balance.report_hold.0,
                 half_life_ms: balance.report_half_life.0,
             },
@@ -174,7 +174,7 @@
 
     fn state(&self) -> EdgeState {
         let bounds = &self.settings.bounds;
-        let place = Place {
+        let place = PickerConfig {
             daemon: self.settings.name.clone(),
             region: self.settings.region.clone(),
             zones: self.settings.zones.clone(),
@@ -301,7 +301,7 @@
         let Some(running) = self.running() else {
             return Value::Null;
         };
-        let trust = self.balance().trust;
+        let trust = self.balance().report_decay;
         let follower = running.follower.dump();
         let idle_connections = running.pool.idle_count();
         let beliefs = running.state.beliefs();
@@ -342,7 +342,7 @@
             "retry_budgets": retry_budgets,
             "retry_allowance": {
                 "daemons": beliefs.allowance.daemons(now),
-                "part": beliefs.allowance.part(now),
+                "part": beliefs.allowance.share(now),
             },
             "catalog_version": beliefs.catalog.version(),
             "daemons": beliefs.daemons,
--- a/crates/coursestand-daemon/tests/following/daemon.rs
+++ b/crates/coursestand-daemon/tests/following/daemon.rs
@@ -13,9 +13,9 @@
 use coursestand_proxy::EdgeState;
 use coursestand_proxy::edge_state::EdgeBounds;
 use coursestand_routing::RetryLimits;
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::ColdLimits;
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
 }
 
 fn state(clock: MonotonicClock) -> EdgeState {
-    let place = Place {
+    let place = PickerConfig {
         daemon: "edge".to_owned(),
         region: RegionId::from("z"),
         zones: BTreeMap::from([(ZoneId::from("z-1"), RegionId::from("z"))]),
@@ -44,7 +44,7 @@
         },
         balance: Balance {
             hard_load: 2.0,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 500,
                 half_life_ms: 500,
             },
--- a/crates/coursestand-proxy/src/edge_state.rs
+++ b/crates/coursestand-proxy/src/edge_state.rs
@@ -11,9 +11,9 @@
 use coursestand_model::{Millis, ServiceId, ZoneId};
 use coursestand_routing::cold::OwnerViews;
 use coursestand_routing::fatal_requests::CaseNews;
-use coursestand_routing::findings::BackendReports;
+use coursestand_routing::findings::BackendReporters;
 use coursestand_routing::hash::hash_of;
-use coursestand_routing::picker::Place;
+use coursestand_routing::picker::PickerConfig;
 use coursestand_routing::rate_limit::TokenVerdict;
 use coursestand_routing::split::SplitState;
 use coursestand_routing::{
@@ -65,9 +65,9 @@
     /// since it started: it knows by then which requests end back ends.
     pub is_informed: bool,
     /// Other daemons that say which back ends drain.
-    pub draining: BackendReports,
+    pub draining: BackendReporters,
     /// Other daemons that were told rate limits.
-    pub limit_reports: BackendReports,
+    pub limit_reports: BackendReporters,
     /// Where the routes stand in dividing requests, by name.
     pub splits: HashMap<String, SplitState>,
 }
@@ -87,10 +87,10 @@
     /// Another daemon saw a back end end, or say that it drains.
     fn hear_of_back_end(&mut self, now: Millis, shared: &SharedFinding) {
         match shared.finding {
-            Finding::Ended { backend, .. } => self.backends.note_ended_elsewhere(now, backend),
+            Finding::Ended { backend, .. } => self.backends.note_remote_crash(now, backend),
             Finding::Drains { backend } => {
-                let is_enough = self.draining.take(backend, shared.reporter);
-                if is_enough && self.backends.note_draining_elsewhere(now, backend) {
+                let is_enough = self.draining.record(backend, shared.reporter);
+                if is_enough && self.backends.note_remote_draining(now, backend) {
                     self.picker.invalidate(now);
                 }
             }
@@ -101,7 +101,7 @@
 
 impl EdgeState {
     /// Beliefs of a daemon at `place` that knows nothing yet.
-    pub fn new(clock: MonotonicClock, place: Place, bounds: EdgeBounds) -> EdgeState {
+    pub fn new(clock: MonotonicClock, place: PickerConfig, bounds: EdgeBounds) -> EdgeState {
         let daemons = BTreeSet::from([place.daemon.clone()]);
         let own = hash_of(&place.daemon);
         let owners = OwnerViews::new(bounds.hand_over_ms);
@@ -121,8 +121,8 @@
                 splits: HashMap::new(),
                 fatal: FatalRequests::new(own),
                 is_informed: false,
-                draining: BackendReports::default(),
-                limit_reports: BackendReports::default(),
+                draining: BackendReporters::default(),
+                limit_reports: BackendReporters::default(),
             }),
             findings: broadcast::Sender::new(FINDINGS_QUEUE),
             trials: TrialRequests::default(),
@@ -168,7 +168,7 @@
             let until = now + self.bounds.settle_ms;
             beliefs
                 .backends
-                .hold_back(until, |instance| ended.contains(&instance.zone));
+                .treat_as_cold(until, |instance| ended.contains(&instance.zone));
         }
         beliefs.picker.invalidate(now);
         true
@@ -196,7 +196,7 @@
         }
         if let Finding::Ended { backend, .. } = shared.finding {
             let budgets = beliefs.budgets.values_mut();
-            budgets.for_each(|budget| budget.unsettled().forget(backend));
+            budgets.for_each(|budget| budget.unresolved().forget(backend));
         }
         let changes = beliefs.fatal.take(now, shared);
         drop(beliefs);
@@ -275,7 +275,7 @@
             let limit = backend.limit().filter(|limit| limit.is_own())?;
             Some(LimitNews {
                 reporter: own,
-                backend: backend.memory,
+                backend: backend.incarnation_hash,
                 rate: Some(limit.rate()),
                 age_ms: now.saturating_sub(limit.named_at()),
             })
@@ -304,15 +304,15 @@
                 beliefs.limit_reports.forget(one.backend);
                 continue;
             };
-            let is_enough = beliefs.limit_reports.take(one.backend, one.reporter);
+            let is_enough = beliefs.limit_reports.record(one.backend, one.reporter);
             let named_at = now.saturating_sub(one.age_ms);
             if is_enough
                 && beliefs
                     .backends
-                    .note_rate_elsewhere(named_at, one.backend, rate)
+                    .note_remote_rate(named_at, one.backend, rate)
                     .is_some()
             {
-                let backend = beliefs.backends.find(one.backend);
+                let backend = beliefs.backends.find_incarnation(one.backend);
                 log::info!(target: LOG,
                     instance = backend.map(|backend| backend.instance.id.as_str()),
                     limit_per_second = rate.as_per_second();
@@ -340,9 +340,11 @@
                 let lifted_at = asked_at.saturating_sub(*age_ms);
                 let mut beliefs = self.beliefs();
                 beliefs.limit_reports.forget(backend);
-                let change = beliefs.backends.note_lifted_elsewhere(lifted_at, backend);
+                let change = beliefs
+                    .backends
+                    .note_remote_limit_lifted(lifted_at, backend);
                 if change.is_some() {
-                    let known = beliefs.backends.find(backend);
+                    let known = beliefs.backends.find_incarnation(backend);
                     log::info!(target: LOG,
                         instance = known.map(|known| known.instance.id.as_str()), age_ms = *age_ms;
                         "a back end changed: its rate limit was lifted, as another daemon was told");
--- a/crates/coursestand-proxy/src/exchange/attempt.rs
+++ b/crates/coursestand-proxy/src/exchange/attempt.rs
@@ -135,7 +135,7 @@
         if report.backoff_ms.is_some() {
             counters.with_label_values(&["backoff"]).inc();
         }
-        if report.drains {
+        if report.is_draining {
             counters.with_label_values(&["draining"]).inc();
         }
         if matches!(report.rate, RateWord::Limited(_)) {
--- a/crates/coursestand-proxy/src/exchange/mod.rs
+++ b/crates/coursestand-proxy/src/exchange/mod.rs
@@ -497,7 +497,7 @@
             told_running = report.load.map(|load| load.running),
             told_waiting = report.load.map(|load| load.waiting),
             told_backoff_ms = report.backoff_ms,
-            told_draining = report.drains.then_some(true),
+            told_draining = report.is_draining.then_some(true),
             retry = retry.name(),
             budget_left = budget.map(|budget| budget.left),
             budget_daemons = budget.map(|budget| budget.daemons),
--- a/crates/coursestand-proxy/src/phases.rs
+++ b/crates/coursestand-proxy/src/phases.rs
@@ -8,7 +8,7 @@
 
 use coursestand_discovery::Incarnation;
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
-use coursestand_routing::picker::Asked;
+use coursestand_routing::picker::SentRequest;
 use coursestand_routing::{BackendReport, Fingerprint, RouteEntry, SendToken, SentCopy};
 use http::Method;
 use tokio::sync::oneshot;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The back end and what decided.
-    pub asked: Asked,
+    pub asked: SentRequest,
     /// When it was chosen, on the daemon's clock.
     pub chosen_at: Millis,
     /// Where it is reached.
--- a/crates/coursestand-proxy/src/router.rs
+++ b/crates/coursestand-proxy/src/router.rs
@@ -5,7 +5,7 @@
 
 use coursestand_model::BackendId;
 use coursestand_routing::hash::{combine, hash_of};
-use coursestand_routing::picker::Asked;
+use coursestand_routing::picker::SentRequest;
 use coursestand_routing::rate_limit::{
     AccessBy, LimitChange, OwnPart, RateWord, Reading, TOKEN_LIFETIME_MS, TokenRequest,
 };
@@ -79,7 +79,7 @@
 
     /// How the next attempt may reach rate-limited back ends.
     fn access(&self, beliefs: &Beliefs, now: Millis, attempts: &Attempts) -> LimitAccess {
-        if beliefs.backends.limited() == 0 {
+        if beliefs.backends.limited_count() == 0 {
             return LimitAccess::default();
         }
         let daemons = beliefs.allowance.daemons(now);
@@ -145,11 +145,11 @@
     }
 
     /// The back end has read what was sent to it before the request that it answered.
-    fn settle_until(&self, beliefs: &mut Beliefs, now: Millis, target: &Target) {
+    fn resolve_up_to(&self, beliefs: &mut Beliefs, now: Millis, target: &Target) {
         let limits = self.state.bounds().retries;
         if let Some(budget) = beliefs.budgets.get_mut(&target.service) {
             let newest = target.copy();
-            budget.unsettled().settle_until(now, limits, newest);
+            budget.unresolved().resolve_up_to(now, limits, newest);
         }
     }
 
@@ -162,7 +162,7 @@
         let view = BudgetView {
             left: budget.left(now, limits, allowance),
             daemons: allowance.daemons(now),
-            held: budget.held(now, limits),
+            held: budget.withheld(now, limits),
         };
         if is_paid {
             RetryVerdict::Paid(view)
@@ -239,7 +239,7 @@
 fn admitted_until(backend: &Backend, now: Millis, attempts: &Attempts) -> Option<Millis> {
     backend.limit()?;
     let token = attempts.token;
-    let token = token.filter(|token| token.is_valid(now, backend.memory));
+    let token = token.filter(|token| token.is_valid(now, backend.incarnation_hash));
     Some(token.map_or(now + TOKEN_LIFETIME_MS, |token| token.valid_until))
 }
 
@@ -270,7 +270,7 @@
         let index = if parts.len() > 1 {
             let weights: Vec<u32> = parts.iter().map(|(_, weight)| *weight).collect();
             let split = beliefs.splits.entry(route.name.clone());
-            let split = split.or_insert_with(|| SplitState::drawn(&weights, rand::random()));
+            let split = split.or_insert_with(|| SplitState::at_offset(&weights, rand::random()));
             split.next(&weights)
         } else {
             0
@@ -318,7 +318,7 @@
         let now = self.state.now();
         let mut guard = self.state.beliefs();
         let beliefs = &mut *guard;
-        if beliefs.backends.limited() == 0 {
+        if beliefs.backends.limited_count() == 0 {
             return None;
         }
         // A daemon that is cut off has its own part only.
@@ -334,7 +334,7 @@
         let backend = beliefs.backends.get(&pick.id)?;
         let limit = backend.limit().filter(|limit| !limit.is_divided(daemons))?;
         let request = TokenRequest {
-            backend: backend.memory,
+            backend: backend.incarnation_hash,
             rate: limit.rate(),
             age_ms: now.saturating_sub(limit.named_at()),
             priority,
@@ -368,7 +368,7 @@
         let address = backend.instance.address;
         let zone = backend.instance.zone.clone();
         let incarnation = backend.instance.incarnation();
-        let memory = backend.memory;
+        let memory = backend.incarnation_hash;
         let admitted_until = admitted_until(backend, now, attempts);
         beliefs.picker.note_sent(now, backend);
         beliefs.backends.start(&pick.id);
@@ -382,7 +382,7 @@
             is_trial = beliefs.fatal.use_permit(now, fingerprint);
         }
         let target = Target {
-            asked: Asked {
+            asked: SentRequest {
                 object: matched.has_object.then_some(matched.key),
                 pick,
             },
@@ -399,7 +399,7 @@
         };
         if target.is_repeat {
             let budget = beliefs.budgets.entry(target.service.clone()).or_default();
-            budget.unsettled().send(target.copy());
+            budget.unresolved().send(target.copy());
         }
         Ok(target)
     }
@@ -415,7 +415,7 @@
             !is_held
                 && backend.instance.is_of(&target.incarnation)
                 && backend.is_ready()
-                && !backend.backs_off(now)
+                && !backend.is_backing_off(now)
                 && is_admitted(backend, now, target)
                 && !beliefs.catalog.is_evacuated(&target.zone)
         })
@@ -425,7 +425,7 @@
         if matches!(report.rate, RateWord::Limited(_)) {
             self.note_rate(self.state.now(), target, report, false);
         }
-        if report.backoff_ms.is_none() && !report.drains {
+        if report.backoff_ms.is_none() && !report.is_draining {
             return;
         }
         let now = self.state.now();
@@ -440,8 +440,11 @@
             log::info!(target: LOG, instance = id.as_str(), service = target.service.as_str(),
                 backoff_ms = asked_ms; "a back end changed: it asks for a back-off");
         }
-        let memory = beliefs.backends.get(id).map(|backend| backend.memory);
-        if report.drains && beliefs.backends.note_draining(now, id) {
+        let memory = beliefs
+            .backends
+            .get(id)
+            .map(|backend| backend.incarnation_hash);
+        if report.is_draining && beliefs.backends.note_draining(now, id) {
             beliefs.picker.invalidate(now);
             drop(beliefs);
             log::info!(target: LOG, instance = id.as_str(), service = target.service.as_str(),
@@ -459,7 +462,7 @@
         let took_ms = now.saturating_sub(target.chosen_at) as f64;
         let mut guard = self.state.beliefs();
         let beliefs = &mut *guard;
-        self.settle_until(beliefs, now, target);
+        self.resolve_up_to(beliefs, now, target);
         if !is_current(beliefs, target) {
             return;
         }
@@ -478,7 +481,7 @@
         }
     }
 
-    fn ended(&self, target: &Target, witnesses: Vec<Fingerprint>) {
+    fn ended(&self, target: &Target, in_flight_requests: Vec<Fingerprint>) {
         let now = self.state.now();
         let mut beliefs = self.state.beliefs();
         let Some(backend) = beliefs.backends.get(target.id()) else {
@@ -487,14 +490,14 @@
         if !backend.instance.is_of(&target.incarnation) {
             return;
         }
-        let memory = backend.memory;
+        let memory = backend.incarnation_hash;
         beliefs.backends.note_unreachable(now, target.id());
         drop(beliefs);
         log::info!(target: LOG, instance = target.id().as_str(), service = target.service.as_str(),
-            witnesses = witnesses.len(); "a back end changed: it has ended");
+            witnesses = in_flight_requests.len(); "a back end changed: it has ended");
         self.state.share(Finding::Ended {
             backend: memory,
-            witnesses,
+            in_flight_requests,
         });
     }
 
@@ -505,7 +508,7 @@
         if failure == AttemptFailure::Silent {
             // It is sent again, and this copy may arrive as well.
             let budget = beliefs.budgets.entry(target.service.clone()).or_default();
-            budget.unsettled().give_up(target.copy());
+            budget.unresolved().abandon(target.copy());
         }
         if let Some(request) = target.fingerprint
             && target.is_trial
@@ -521,7 +524,7 @@
             AttemptFailure::Misdirected => beliefs.backends.note_misdirected(now, id),
             AttemptFailure::Shed => {
                 beliefs.backends.note_shed(now, id, report);
-                self.settle_until(&mut beliefs, now, target);
+                self.resolve_up_to(&mut beliefs, now, target);
             }
             AttemptFailure::Lost | AttemptFailure::TimedOut => {
                 beliefs.backends.note_failure(now, id);
@@ -538,8 +541,8 @@
         if target.is_repeat {
             let budget = beliefs.budgets.entry(target.service.clone()).or_default();
             match ending {
-                AttemptEnding::Settled => budget.unsettled().settle(now, limits, target.copy()),
-                AttemptEnding::InDoubt => budget.unsettled().give_up(target.copy()),
+                AttemptEnding::Settled => budget.unresolved().resolve(now, limits, target.copy()),
+                AttemptEnding::InDoubt => budget.unresolved().abandon(target.copy()),
             }
         }
         if let Some(fingerprint) = target.fingerprint {
--- a/crates/coursestand-proxy/src/story.rs
+++ b/crates/coursestand-proxy/src/story.rs
@@ -75,7 +75,7 @@
         self.rank = target.asked.pick.rank;
         self.load = target.asked.pick.load;
         self.load_age_ms = target.asked.pick.load_age_ms;
-        self.knows = target.asked.pick.knows;
+        self.knows = target.asked.pick.is_warm;
         self.expected_ms = target.asked.pick.expected_ms.map(|time| time as u64);
     }
 
--- a/crates/coursestand-proxy/src/told.rs
+++ b/crates/coursestand-proxy/src/told.rs
@@ -31,7 +31,7 @@
             report: BackendReport {
                 load: load_of(names, headers),
                 backoff_ms: backoff_of(status, headers),
-                drains: text_of(headers, &names.drains).map(str::trim) == Some(DRAINS),
+                is_draining: text_of(headers, &names.drains).map(str::trim) == Some(DRAINS),
                 rate: rate_of(names, status, headers),
             },
             keep_alive: keep_alive_of(headers),
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -245,7 +245,7 @@
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_sent_once_its_back_end_drains() {
     let draining = BackendReport {
-        drains: true,
+        is_draining: true,
         ..BackendReport::default()
     };
     let meanwhile = move |router: &Router, target: &Target| router.told(target, &draining);
@@ -300,7 +300,7 @@
     let backend = {
         let beliefs = edge.state.beliefs();
         let known = beliefs.backends.get(&BackendId::from("i-0"));
-        known.expect("known").memory
+        known.expect("known").incarnation_hash
     };
     let says = |number, reporter| SharedFinding {
         number,
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -23,9 +23,9 @@
 use coursestand_proxy::router::Router;
 use coursestand_proxy::{EdgeState, Exchange, HeaderNames, ProxyServer};
 use coursestand_routing::RetryLimits;
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::ColdLimits;
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -106,7 +106,7 @@
 }
 
 pub fn empty_state(rules: Rules) -> Arc<EdgeState> {
-    let place = Place {
+    let place = PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from("r"),
         zones: BTreeMap::from([(ZoneId::from("z"), RegionId::from("r"))]),
@@ -116,7 +116,7 @@
         },
         balance: Balance {
             hard_load: 1.6,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 250,
                 half_life_ms: 400,
             },
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -120,7 +120,7 @@
     let before = edge.arrivals();
     let answers = ask_for(&edge, "after", Duration::from_secs(1)).await;
     expect_that!(edge.arrivals() - before, eq(answers.len()));
-    expect_that!(edge.state.beliefs().backends.limited(), eq(0));
+    expect_that!(edge.state.beliefs().backends.limited_count(), eq(0));
     control.abort();
 }
 
@@ -147,7 +147,12 @@
 async fn a_limit_is_believed_of_two_other_daemons() {
     let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
     let state = &edge.state;
-    let backend = state.beliefs().backends.iter().next().map(|one| one.memory);
+    let backend = state
+        .beliefs()
+        .backends
+        .iter()
+        .next()
+        .map(|one| one.incarnation_hash);
     let news = |reporter| LimitNews {
         reporter,
         backend: backend.expect("a back end"),
@@ -155,9 +160,9 @@
         age_ms: 0,
     };
     state.adopt_limits(&[news(1), news(1)]);
-    expect_that!(state.beliefs().backends.limited(), eq(0));
+    expect_that!(state.beliefs().backends.limited_count(), eq(0));
     state.adopt_limits(&[news(2)]);
-    expect_that!(state.beliefs().backends.limited(), eq(1));
+    expect_that!(state.beliefs().backends.limited_count(), eq(1));
 }
 
 /// Guards against a later incarnation that is bound by what an earlier one named.
@@ -173,7 +178,7 @@
     };
     edge.state.adopt_instances(vec![incarnation(1)]);
     ask(&edge, "first").await;
-    expect_that!(edge.state.beliefs().backends.limited(), eq(1));
+    expect_that!(edge.state.beliefs().backends.limited_count(), eq(1));
     edge.state.adopt_instances(vec![incarnation(2)]);
-    expect_that!(edge.state.beliefs().backends.limited(), eq(0));
+    expect_that!(edge.state.beliefs().backends.limited_count(), eq(0));
 }
--- a/crates/coursestand-proxy/tests/unsettled_retries.rs
+++ b/crates/coursestand-proxy/tests/unsettled_retries.rs
@@ -67,7 +67,7 @@
     fn held(&self) -> usize {
         let beliefs = self.edge.state.beliefs();
         let budget = &beliefs.budgets[&ServiceId::from("s")];
-        budget.held(self.edge.state.now(), self.edge.state.bounds().retries)
+        budget.withheld(self.edge.state.now(), self.edge.state.bounds().retries)
     }
 
     fn may_retry(&self, matched: &Matched) -> bool {
@@ -127,7 +127,7 @@
     fixture.router.finished(&repeat, AttemptEnding::InDoubt);
     fixture.edge.state.share(Finding::Ended {
         backend: repeat.memory,
-        witnesses: Vec::new(),
+        in_flight_requests: Vec::new(),
     });
     expect_that!(fixture.held(), eq(0));
 }
--- a/crates/coursestand-proxy/tests/untrusted_figures.rs
+++ b/crates/coursestand-proxy/tests/untrusted_figures.rs
@@ -103,10 +103,13 @@
 fn draining_is_read_from_an_answer_of_any_status() {
     for status in [200, 404, 500, 503] {
         let read = told(status, &[("x-draining", "1")]);
-        expect_that!(read.report.drains, eq(true), "{status}");
+        expect_that!(read.report.is_draining, eq(true), "{status}");
     }
     for value in ["0", "", "no", "11"] {
-        expect_that!(told(200, &[("x-draining", value)]).report.drains, eq(false));
+        expect_that!(
+            told(200, &[("x-draining", value)]).report.is_draining,
+            eq(false)
+        );
     }
 }
 
--- a/crates/coursestand-routing/benches/pick.rs
+++ b/crates/coursestand-routing/benches/pick.rs
@@ -1,4 +1,4 @@
-//! Time of one choice of a back end, among 20 and among 400 of a service.
+//! Measures the selection of a back end among 20 and among 400 of a service.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 use coursestand_catalog::Catalog;
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, RegionId, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use coursestand_routing::{Backends, LimitAccess, PickRequest, Picker};
 use criterion::{Criterion, criterion_group, criterion_main};
 
@@ -18,8 +18,8 @@
 const SERVICE: &str = "service";
 const COUNTS: [usize; 2] = [20, 400];
 
-fn place() -> Place {
-    Place {
+fn config() -> PickerConfig {
+    PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from("region"),
         zones: BTreeMap::from([(ZoneId::from(ZONE), RegionId::from("region"))]),
@@ -29,7 +29,7 @@
         },
         balance: Balance {
             hard_load: 1.6,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 250,
                 half_life_ms: 400,
             },
@@ -68,7 +68,7 @@
     let owners = OwnerViews::new(0);
     for count in COUNTS {
         let backends = backends(count);
-        let mut picker = Picker::new(place());
+        let mut picker = Picker::new(config());
         let mut key = 0_u64;
         criterion.bench_function(&format!("pick among {count}"), |bencher| {
             bencher.iter(|| {
--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -1,5 +1,5 @@
-//! The back ends as one entry daemon sees them: what discovery says, and what its
-//! own requests have shown.
+//! The back ends as seen by one entry daemon: their state from discovery, combined with the
+//! load, failures and limits that the daemon's own requests show.
 
 use std::collections::HashMap;
 
@@ -11,51 +11,52 @@
 use crate::hash::{combine, hash_of};
 use crate::rate_limit::{KnownLimit, LimitAccess, LimitChange, Rate, RateWord, Reading};
 
-/// First time for which a back end that refuses connections is left out.
+/// First ejection time of a back end that refuses connections; doubles with each further
+/// failure.
 const FIRST_EJECTION_MS: Millis = 500;
-/// Longest such time.
-const LONGEST_EJECTION_MS: Millis = 8_000;
-/// Failures in a row of other kinds after which a back end is left out.
+/// Maximum ejection time.
+const MAX_EJECTION_MS: Millis = 8_000;
+/// Consecutive failures of other kinds after which a back end is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 
-/// Load that a back end told with an answer.
+/// Load that a back end reported with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in its queue.
     pub waiting: u32,
 }
 
-/// What a back end says of itself with an answer.
+/// What a back end reports about itself with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendReport {
-    /// Its load, if it tells it.
+    /// Its load, if reported.
     pub load: Option<LoadReport>,
-    /// For how long it wants no requests of this daemon, in milliseconds.
+    /// The back-off that it requests from this daemon, in milliseconds.
     pub backoff_ms: Option<Millis>,
-    /// Whether it drains: it takes no new requests and ends soon.
-    pub drains: bool,
-    /// The rate that it takes from all daemons together.
+    /// Whether it is draining: it accepts no new requests and terminates soon.
+    pub is_draining: bool,
+    /// The maximum rate that it accepts from all daemons together.
     pub rate: RateWord,
 }
 
-/// Time constant with which the usual load follows the reports.
-const USUAL_LOAD_MS: f64 = 4_000.0;
-/// Without reports the usual load loses half of its weight in this time.
-const USUAL_HALF_LIFE_MS: f64 = 8_000.0;
+/// Time constant of the average of the reported load.
+const AVERAGE_LOAD_TIME_CONSTANT_MS: f64 = 4_000.0;
+/// Time in which the average load loses half of its weight when no reports arrive.
+const AVERAGE_LOAD_HALF_LIFE_MS: f64 = 8_000.0;
 
-/// How long a load report is believed.
+/// How the weight of a load report decreases with its age.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReportTrust {
-    /// Time for which it counts in full.
+pub struct ReportDecay {
+    /// Age up to which a report has full weight.
     pub hold_ms: Millis,
-    /// After that, it loses half of its weight in this time.
+    /// Time in which it loses half of its weight after that.
     pub half_life_ms: Millis,
 }
 
-impl ReportTrust {
-    /// Weight of a report of this age, from 1 down to 0.
+impl ReportDecay {
+    /// Returns the weight of a report of this age in milliseconds, from 1 down to 0.
     pub fn weight(self, age: Millis) -> f64 {
         let past_hold = age.saturating_sub(self.hold_ms) as f64;
         (-past_hold / self.half_life_ms.max(1) as f64).exp2()
@@ -65,22 +66,22 @@
 /// One back end.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What it says of itself.
+    /// Its instance as announced by discovery.
     pub instance: Instance,
     /// Hash of its identity.
     pub hash: u64,
-    /// Tells what it remembers from what another incarnation does: what it has seen of
-    /// objects.
-    pub memory: u64,
-    /// When it ceases to be cold.
+    /// Hash of its identity and incarnation. A new incarnation is warm for none of the
+    /// objects of the previous one.
+    pub incarnation_hash: u64,
+    /// Time until which it counts as cold.
     pub cold_until: Millis,
-    /// Requests of this daemon that it has.
+    /// Requests of this daemon that are in flight there.
     pub in_flight: u32,
-    /// Requests of others at the newest report, and when it came.
-    others: f64,
+    /// Requests of other daemons by the latest report, and the time of that report.
+    others_load: f64,
     reported_at: Millis,
-    /// Requests of others as reports told them on average.
-    usual: f64,
+    /// Moving average of the requests of other daemons.
+    average_others_load: f64,
     failures: u32,
     ejected_until: Millis,
     backoff: Backoff,
@@ -88,16 +89,16 @@
 }
 
 impl Backend {
-    fn new(news: InstanceNews, now: Millis) -> Backend {
+    fn new(update: InstanceNews, now: Millis) -> Backend {
         Backend {
-            hash: hash_of(news.instance.id.as_str()),
-            memory: memory_of(&news.instance),
-            cold_until: now.saturating_add(news.cold_ms),
-            instance: news.instance,
+            hash: hash_of(update.instance.id.as_str()),
+            incarnation_hash: incarnation_hash_of(&update.instance),
+            cold_until: now.saturating_add(update.cold_ms),
+            instance: update.instance,
             in_flight: 0,
-            others: 0.0,
+            others_load: 0.0,
             reported_at: now,
-            usual: 0.0,
+            average_others_load: 0.0,
             failures: 0,
             ejected_until: 0,
             backoff: Backoff::default(),
@@ -105,100 +106,101 @@
         }
     }
 
-    /// Requests that it probably has now.
+    /// Returns the estimated number of requests that it has at present.
     ///
-    /// What others have fades from the newest report towards what they usually
-    /// have: a daemon of many hears of a back end seldom, and one that is always
-    /// crowded is still so when its last report is old.
-    pub fn load(&self, now: Millis, trust: ReportTrust) -> f64 {
+    /// The estimate of the requests of other daemons decays from the latest report towards
+    /// their average: in a large fleet a daemon rarely receives a report of a back end, and
+    /// a permanently overloaded one is still overloaded when its last report is old.
+    pub fn load(&self, now: Millis, report_decay: ReportDecay) -> f64 {
         let age = self.load_age(now);
-        let usual = self.usual * (-(age as f64) / USUAL_HALF_LIFE_MS).exp2();
-        let others = usual + (self.others - usual) * trust.weight(age);
+        let average = self.average_others_load * (-(age as f64) / AVERAGE_LOAD_HALF_LIFE_MS).exp2();
+        let others = average + (self.others_load - average) * report_decay.weight(age);
         f64::from(self.in_flight) + others
     }
 
-    fn take_report(&mut self, now: Millis, report: LoadReport) {
+    fn record_report(&mut self, now: Millis, report: LoadReport) {
         let all = f64::from(report.running) + f64::from(report.waiting);
         let others = (all - f64::from(self.in_flight)).max(0.0);
-        let gain = 1.0 - (-(self.load_age(now) as f64) / USUAL_LOAD_MS).exp();
-        self.usual += (others - self.usual) * gain;
-        self.others = others;
+        let gain = 1.0 - (-(self.load_age(now) as f64) / AVERAGE_LOAD_TIME_CONSTANT_MS).exp();
+        self.average_others_load += (others - self.average_others_load) * gain;
+        self.others_load = others;
         self.reported_at = now;
     }
 
-    /// Age of what is known about its load, in milliseconds.
+    /// Returns the age of its latest load report, in milliseconds.
     pub fn load_age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.reported_at)
     }
 
-    /// Whether it may still be cold.
+    /// Returns whether it counts as cold.
     pub fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until
     }
 
-    /// Whether it is left out for its failures.
+    /// Returns whether it is ejected because of failures.
     pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it asked for a back-off that has not ended.
-    pub fn backs_off(&self, now: Millis) -> bool {
+    /// Returns whether a back-off that it requested is active.
+    pub fn is_backing_off(&self, now: Millis) -> bool {
         self.backoff.is_active(now)
     }
 
-    /// Time until the end of its back-off, in milliseconds.
+    /// Returns the time until its back-off ends, in milliseconds.
     pub fn backoff_left_ms(&self, now: Millis) -> Millis {
         self.backoff.left_ms(now)
     }
 
-    /// Whether the back-off that it asked for, if any, allows another request.
-    pub fn has_room(&self, now: Millis) -> bool {
-        self.backoff.has_room(now, self.in_flight)
+    /// Returns whether the back-off that it requested, if any, and the slow start after it
+    /// allow another request.
+    pub fn has_capacity(&self, now: Millis) -> bool {
+        self.backoff.has_capacity(now, self.in_flight)
     }
 
-    /// The rate limit that it named, if any.
+    /// Returns the rate limit that it reported, if any.
     pub fn limit(&self) -> Option<&KnownLimit> {
         self.limit.as_ref()
     }
 
-    /// Whether its rate limit, if any, allows a request with this access.
+    /// Returns whether its rate limit, if any, allows a request with this access.
     pub fn admits(&self, now: Millis, access: &LimitAccess) -> bool {
         let limit = self.limit.as_ref();
-        limit.is_none_or(|limit| access.admits(now, self.memory, limit))
+        limit.is_none_or(|limit| access.admits(now, self.incarnation_hash, limit))
     }
 
-    /// Whether it takes new requests at all.
+    /// Returns whether it accepts new requests: it is neither starting nor draining.
     pub fn is_ready(&self) -> bool {
         self.instance.phase == InstancePhase::Ready
     }
 
     fn eject(&mut self, now: Millis) {
         let doublings = self.failures.saturating_sub(1).min(8);
-        let time = (FIRST_EJECTION_MS << doublings).min(LONGEST_EJECTION_MS);
-        self.ejected_until = now + time;
+        let ejection_ms = (FIRST_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
+        self.ejected_until = now + ejection_ms;
     }
 }
 
-/// Tells what an incarnation remembers from what others of the same back end do.
-fn memory_of(instance: &Instance) -> u64 {
+/// Returns the hash that identifies an incarnation.
+fn incarnation_hash_of(instance: &Instance) -> u64 {
     let hash = hash_of(instance.id.as_str());
     instance.born.map_or(hash, |born| combine(hash, born))
 }
 
-/// All back ends by identity, and by service.
+/// All known back ends by identity, and by service.
 #[derive(Clone, Debug, Default)]
 pub struct Backends {
     table: InstanceTable,
     backends: HashMap<BackendId, Backend>,
     by_service: HashMap<ServiceId, Vec<BackendId>>,
-    /// How many of them have a rate limit.
-    limited: usize,
+    /// Number of back ends that have a rate limit.
+    limited_count: usize,
 }
 
 impl Backends {
-    /// Takes in news of an instance. Returns whether anything changed.
-    pub fn merge(&mut self, now: Millis, news: InstanceNews) -> bool {
-        let changed = self.table.adopt(now, news);
+    /// Merges an update of an instance. Returns whether anything changed.
+    pub fn merge(&mut self, now: Millis, update: InstanceNews) -> bool {
+        let changed = self.table.adopt(now, update);
         for id in &changed {
             self.refresh(now, id);
         }
@@ -213,9 +215,10 @@
             self.remove(id);
             return;
         }
-        // A later incarnation is another back end: nothing learned, nothing under way.
-        let known_here = self.backends.get(id);
-        if known_here.is_some_and(|before| known.instance.starts_after(&before.instance)) {
+        // A later incarnation counts as a new back end: learned state and requests in
+        // flight are not carried over.
+        let previous = self.backends.get(id);
+        if previous.is_some_and(|previous| known.instance.starts_after(&previous.instance)) {
             let known = known.clone();
             self.remove(id);
             return self.insert(now, &known);
@@ -244,18 +247,18 @@
         let Some(backend) = self.backends.remove(id) else {
             return;
         };
-        self.limited -= usize::from(backend.limit.is_some());
+        self.limited_count -= usize::from(backend.limit.is_some());
         if let Some(ids) = self.by_service.get_mut(&backend.instance.service) {
             ids.retain(|known| known != id);
         }
     }
 
-    /// One back end.
+    /// Returns the back end with this identity.
     pub fn get(&self, id: &BackendId) -> Option<&Backend> {
         self.backends.get(id)
     }
 
-    /// The back ends of a service that have not ended.
+    /// Iterates over the back ends of a service that have not terminated.
     pub fn of_service(&self, service: &ServiceId) -> impl Iterator<Item = &Backend> {
         self.by_service
             .get(service)
@@ -264,19 +267,18 @@
             .filter_map(|id| self.backends.get(id))
     }
 
-    /// Services that have back ends.
+    /// Iterates over the services that have, or had, back ends.
     pub fn services(&self) -> impl Iterator<Item = &ServiceId> {
         self.by_service.keys()
     }
 
-    /// All back ends that have not ended.
+    /// Iterates over all back ends that have not terminated.
     pub fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.backends.values()
     }
 
-    /// Keeps all back ends that `is_in_zone` holds for out of service until
-    /// `until`, as if they were cold.
-    pub fn hold_back(&mut self, until: Millis, is_in_zone: impl Fn(&Instance) -> bool) {
+    /// Treats all back ends for which `is_in_zone` returns true as cold until `until`.
+    pub fn treat_as_cold(&mut self, until: Millis, is_in_zone: impl Fn(&Instance) -> bool) {
         for backend in self.backends.values_mut() {
             if is_in_zone(&backend.instance) {
                 backend.cold_until = backend.cold_until.max(until);
@@ -284,22 +286,22 @@
         }
     }
 
-    /// A request goes to the back end.
+    /// Records that a request is sent to the back end.
     pub fn start(&mut self, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.in_flight += 1;
         }
     }
 
-    /// A request that was started has ended.
+    /// Records that a started request has ended.
     pub fn finish(&mut self, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
         }
     }
 
-    /// The back end answered, with its load if it tells it. The request that was
-    /// answered still counts as started.
+    /// Records an answer of the back end, with its load if reported. The answered request
+    /// counts as in flight until [`Backends::finish`].
     pub fn note_answer(&mut self, now: Millis, id: &BackendId, report: Option<LoadReport>) {
         let Some(backend) = self.backends.get_mut(id) else {
             return;
@@ -308,64 +310,66 @@
         backend.ejected_until = 0;
         backend.backoff.note_answer(now, backend.instance.capacity);
         if let Some(report) = report {
-            backend.take_report(now, report);
+            backend.record_report(now, report);
         }
     }
 
-    /// The back end refused a request. The load that it tells is believed. Without it
-    /// the back end counts as full, unless it said for how long it wants no requests.
+    /// Records that the back end refused a request. Without a reported load the back end
+    /// counts as overloaded, unless it requested a back-off.
     pub fn note_shed(&mut self, now: Millis, id: &BackendId, report: &BackendReport) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.backoff.note_refusal();
             if let Some(load) = report.load {
-                backend.take_report(now, load);
+                backend.record_report(now, load);
                 return;
             }
             if report.backoff_ms.is_some() {
                 return;
             }
             let slots = f64::from(backend.instance.capacity);
-            backend.others = backend.others.max(4.0 * slots);
+            backend.others_load = backend.others_load.max(4.0 * slots);
             backend.reported_at = now;
         }
     }
 
-    /// The back end wants no requests for `asked_ms`. Returns whether a back-off begins.
-    /// That is no failure: it is not ejected, and what it knows is not forgotten.
-    pub fn note_backoff(&mut self, now: Millis, id: &BackendId, asked_ms: Millis) -> bool {
+    /// Records that the back end requested a back-off. Returns whether a new back-off begins.
+    /// A back-off is not a failure: the back end is not ejected and stays warm for its
+    /// objects.
+    pub fn note_backoff(&mut self, now: Millis, id: &BackendId, requested_ms: Millis) -> bool {
         let backend = self.backends.get_mut(id);
-        backend.is_some_and(|backend| backend.backoff.ask(now, asked_ms))
+        backend.is_some_and(|backend| backend.backoff.request(now, requested_ms))
     }
 
-    /// The back end said itself that it drains. That holds whatever control processes
-    /// still tell of this incarnation, and if none can be reached. Returns whether it is
-    /// news.
+    /// Records that the back end itself reported that it is draining. This takes precedence
+    /// over the state that control processes announce for this incarnation. Returns whether
+    /// the report is new.
     pub fn note_draining(&mut self, now: Millis, id: &BackendId) -> bool {
-        let is_news = self.table.drain(id);
+        let is_new = self.table.drain(id);
         self.refresh(now, id);
-        is_news
+        is_new
     }
 
-    /// The same for the incarnation with this `memory`, as other daemons say.
-    pub fn note_draining_elsewhere(&mut self, now: Millis, memory: u64) -> bool {
+    /// Records that other daemons reported that this incarnation is draining.
+    pub fn note_remote_draining(&mut self, now: Millis, incarnation_hash: u64) -> bool {
         let mut backends = self.backends.values();
-        let found = backends.find(|backend| backend.memory == memory);
+        let found = backends.find(|backend| backend.incarnation_hash == incarnation_hash);
         let id = found.map(|backend| backend.instance.id.clone());
         id.is_some_and(|id| self.note_draining(now, &id))
     }
 
-    /// Back ends that have a rate limit.
-    pub fn limited(&self) -> usize {
-        self.limited
+    /// Returns the number of back ends that have a rate limit.
+    pub fn limited_count(&self) -> usize {
+        self.limited_count
     }
 
-    /// The incarnation with this `memory`.
-    pub fn find(&self, memory: u64) -> Option<&Backend> {
+    /// Returns the back end with this incarnation hash.
+    pub fn find_incarnation(&self, incarnation_hash: u64) -> Option<&Backend> {
         let mut backends = self.backends.values();
-        backends.find(|backend| backend.memory == memory)
+        backends.find(|backend| backend.incarnation_hash == incarnation_hash)
     }
 
-    /// Changes what is known of the limit of a back end.
+    /// Changes the known rate limit of a back end. When a limit is lifted, the back end gets a
+    /// slow start.
     fn change_limit(
         &mut self,
         id: &BackendId,
@@ -376,13 +380,15 @@
         let changed = change(&mut backend.limit);
         let is_limited = backend.limit.is_some();
         if was_limited && !is_limited {
-            backend.backoff.return_slowly();
+            backend.backoff.begin_slow_start();
         }
-        self.limited = self.limited + usize::from(is_limited) - usize::from(was_limited);
+        self.limited_count =
+            self.limited_count + usize::from(is_limited) - usize::from(was_limited);
         changed
     }
 
-    /// An answer of the back end tells of its rate limit. Returns what became of that.
+    /// Records the rate limit reported by an answer of the back end. Returns the resulting
+    /// change.
     pub fn note_rate(
         &mut self,
         now: Millis,
@@ -392,42 +398,46 @@
         self.change_limit(id, |limit| KnownLimit::read(limit, now, reading))
     }
 
-    /// Other daemons were told this limit of the incarnation with this `memory`, at
-    /// `named_at`.
-    pub fn note_rate_elsewhere(
+    /// Records that this incarnation reported a rate limit to other daemons at `named_at`.
+    pub fn note_remote_rate(
         &mut self,
         named_at: Millis,
-        memory: u64,
+        incarnation_hash: u64,
         rate: Rate,
     ) -> Option<LimitChange> {
-        let id = self.find(memory)?.instance.id.clone();
+        let id = self.find_incarnation(incarnation_hash)?.instance.id.clone();
         self.change_limit(&id, |limit| KnownLimit::hear(limit, named_at, rate))
     }
 
-    /// The incarnation with this `memory` named no limit to another daemon at `lifted_at`.
-    pub fn note_lifted_elsewhere(&mut self, lifted_at: Millis, memory: u64) -> Option<LimitChange> {
-        let id = self.find(memory)?.instance.id.clone();
+    /// Records that this incarnation reported to another daemon at `lifted_at` that it has
+    /// no limit.
+    pub fn note_remote_limit_lifted(
+        &mut self,
+        lifted_at: Millis,
+        incarnation_hash: u64,
+    ) -> Option<LimitChange> {
+        let id = self.find_incarnation(incarnation_hash)?.instance.id.clone();
         self.change_limit(&id, |limit| KnownLimit::hear_lifted(limit, lifted_at))
     }
 
-    /// Control denied a token for the incarnation with this `memory`; see
+    /// Records that control denied a token for this incarnation; see
     /// [`KnownLimit::note_denied`].
     pub fn note_denied(
         &mut self,
         asked_at: Millis,
-        memory: u64,
+        incarnation_hash: u64,
         again_in_ms: Millis,
         priority: u32,
     ) {
         let mut backends = self.backends.values_mut();
-        let backend = backends.find(|backend| backend.memory == memory);
+        let backend = backends.find(|backend| backend.incarnation_hash == incarnation_hash);
         if let Some(limit) = backend.and_then(|backend| backend.limit.as_mut()) {
             limit.note_denied(asked_at, again_in_ms, priority);
         }
     }
 
-    /// A request is sent to the back end without a token, by the daemon's own part of its limit
-    /// among so many `daemons`.
+    /// Records that a request is sent to the back end without a token, within the daemon's own
+    /// share of the limit, which is divided among `daemons`.
     pub fn note_sent_without_token(&mut self, now: Millis, id: &BackendId, daemons: usize) {
         let backend = self.backends.get_mut(id);
         let Some(limit) = backend.and_then(|backend| backend.limit.as_mut()) else {
@@ -440,7 +450,7 @@
         }
     }
 
-    /// No connection to the back end could be made.
+    /// Records that no connection to the back end could be established, and ejects it.
     pub fn note_unreachable(&mut self, now: Millis, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.failures += 1;
@@ -448,12 +458,13 @@
         }
     }
 
-    /// Another daemon found that the incarnation with this `memory` has ended. It is left
-    /// out until this daemon could see for itself: 1,004 tries in seven seconds met nobody
-    /// at the address of one of 27 back ends that had ended.
-    pub fn note_ended_elsewhere(&mut self, now: Millis, memory: u64) {
+    /// Records that another daemon detected a crash of this incarnation. The back end is
+    /// ejected until this daemon can detect the crash itself: without this, daemons made
+    /// 1,004 futile connection attempts in seven seconds after one of 27 back ends had
+    /// crashed.
+    pub fn note_remote_crash(&mut self, now: Millis, incarnation_hash: u64) {
         let mut backends = self.backends.values_mut();
-        if let Some(backend) = backends.find(|backend| backend.memory == memory)
+        if let Some(backend) = backends.find(|backend| backend.incarnation_hash == incarnation_hash)
             && backend.in_flight == 0
         {
             let until = now.saturating_add(FIRST_EJECTION_MS);
@@ -461,11 +472,11 @@
         }
     }
 
-    /// What answers at the back end's address says that it is another instance. Where
-    /// another one is known to have that address, this one has ended, whatever control
-    /// processes still say: where they have forgotten it, nothing else would tell this
-    /// daemon. Without, it is left out for a while only: a back end that misbehaves may
-    /// say so of itself, and one word would end it here for good.
+    /// Records that the process at the back end's address identified itself as another
+    /// instance. If another back end is known at that address, this one has terminated and is
+    /// removed, whatever control processes still announce: if they have forgotten it, this
+    /// daemon would learn of its end from nobody else. Otherwise it is only ejected: a faulty
+    /// back end may report a wrong identity, and one such answer must not remove it for good.
     pub fn note_misdirected(&mut self, now: Millis, id: &BackendId) {
         if self.shares_address(id) {
             self.table.end(now, id);
@@ -484,7 +495,8 @@
         others.any(|other| other.instance.id != *id && other.instance.address == address)
     }
 
-    /// The back end gave no proper answer.
+    /// Records that the back end gave no valid answer, and ejects it after several such
+    /// failures in a row.
     pub fn note_failure(&mut self, now: Millis, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.failures += 1;
--- a/crates/coursestand-routing/src/backoff.rs
+++ b/crates/coursestand-routing/src/backoff.rs
@@ -1,75 +1,82 @@
-//! The back-off that a back end asks for with a refusal, and its way back to full use.
+//! The back-off that a back end requests when it refuses a request, and the slow start
+//! after it.
 //!
-//! A back end that refuses answers faster than any that works, so by its load it is always
-//! the best choice: without the back-off, six of 20 that refused got 2.3 times their
-//! requests, and 28% of the service's requests failed. With it, none is sent to them
-//! until the end of the time that they asked for.
+//! A back end that refuses requests answers faster than any that works on them, so its load
+//! always makes it the best choice: without the back-off, six refusing back ends of 20 got
+//! 2.3 times their share of requests, and 28% of the service's requests failed. With it, no
+//! request is sent to them until the requested time is over.
 //!
-//! Afterwards the daemon sends one request at a time, and twice as many after each answer:
-//! daemons whose back-offs end together don't make the back end refuse again at once, and
-//! one that still refuses costs each daemon one request instead of all that its keys bring.
+//! Afterwards the daemon sends one request at a time and doubles that limit with each
+//! answer: daemons whose back-offs end together don't overload the back end at once, and a
+//! back end that still refuses costs each daemon one request instead of all requests for
+//! its keys.
 
 use coursestand_model::Millis;
 
-/// Longest back-off that is believed: the longest time-out that a route may have. A back
-/// end that asks for a year by mistake is tried again after that.
-pub const LONGEST_BACKOFF_MS: Millis = 600_000;
-/// Requests at a time after a back-off.
-const FIRST_ROOM: u32 = 1;
-/// Growth of that with each answer.
-const ROOM_GROWTH: u32 = 2;
+/// Maximum back-off that is applied: the maximum time-out of a route. A back end that asks
+/// for a year by mistake is tried again after this time.
+pub const MAX_BACKOFF_MS: Millis = 600_000;
+/// Concurrent requests at the beginning of the slow start.
+const INITIAL_CONCURRENCY: u32 = 1;
+/// Factor of the concurrency limit with each answer during the slow start.
+const CONCURRENCY_GROWTH: u32 = 2;
 
-/// The back-off of one incarnation of a back end, as one daemon was told it.
+/// The back-off of one incarnation of a back end, as applied by one daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backoff {
     ends_at: Millis,
-    /// Requests at a time; none once the back end is in full use.
-    room: Option<u32>,
+    /// Maximum number of concurrent requests during the slow start; `None` after it.
+    concurrency_limit: Option<u32>,
 }
 
 impl Backoff {
-    /// The back end wants no requests for `asked_ms`. Of several ends the latest holds: a
-    /// shorter time, or an answer to a request sent before, takes nothing back. Returns
-    /// whether a back-off begins.
-    pub fn ask(&mut self, now: Millis, asked_ms: Millis) -> bool {
+    /// Starts or extends the back-off to `requested_ms` from now. The latest end applies: a
+    /// shorter time, or an answer to an earlier request, never shortens a back-off. Returns
+    /// whether a new back-off begins.
+    pub fn request(&mut self, now: Millis, requested_ms: Millis) -> bool {
         let begins = !self.is_active(now);
-        let ends_at = now.saturating_add(asked_ms.min(LONGEST_BACKOFF_MS));
+        let ends_at = now.saturating_add(requested_ms.min(MAX_BACKOFF_MS));
         self.ends_at = self.ends_at.max(ends_at);
-        self.room = Some(FIRST_ROOM);
+        self.concurrency_limit = Some(INITIAL_CONCURRENCY);
         begins
     }
 
-    /// The back end takes more requests again than for a while before.
-    pub fn return_slowly(&mut self) {
-        self.room = Some(FIRST_ROOM);
+    /// Begins a slow start without a back-off, when another limit on the back end's
+    /// requests is lifted.
+    pub fn begin_slow_start(&mut self) {
+        self.concurrency_limit = Some(INITIAL_CONCURRENCY);
     }
 
-    /// Whether the back end wants no requests.
+    /// Returns whether the back end accepts no requests at present.
     pub fn is_active(&self, now: Millis) -> bool {
         now < self.ends_at
     }
 
-    /// Time until its end, in milliseconds.
+    /// Returns the time until the back-off ends, in milliseconds.
     pub fn left_ms(&self, now: Millis) -> Millis {
         self.ends_at.saturating_sub(now)
     }
 
-    /// Whether the back end takes another request beside `in_flight` of this daemon.
-    pub fn has_room(&self, now: Millis, in_flight: u32) -> bool {
-        !self.is_active(now) && self.room.is_none_or(|room| in_flight < room)
+    /// Returns whether another request may be sent while `in_flight` requests of this
+    /// daemon are in flight.
+    pub fn has_capacity(&self, now: Millis, in_flight: u32) -> bool {
+        !self.is_active(now) && self.concurrency_limit.is_none_or(|limit| in_flight < limit)
     }
 
-    /// The back end, which works on `slots` requests at a time, answered one.
+    /// Records an answer of the back end, and ends the slow start once its limit exceeds
+    /// the back end's `slots`.
     pub fn note_answer(&mut self, now: Millis, slots: u32) {
         if self.is_active(now) {
             return;
         }
-        let grown = self.room.map(|room| room.saturating_mul(ROOM_GROWTH));
-        self.room = grown.filter(|room| *room <= slots);
+        let grown = self
+            .concurrency_limit
+            .map(|limit| limit.saturating_mul(CONCURRENCY_GROWTH));
+        self.concurrency_limit = grown.filter(|limit| *limit <= slots);
     }
 
-    /// The back end refused a request without asking for a back-off.
+    /// Records a refusal without a requested back-off; restarts a slow start in progress.
     pub fn note_refusal(&mut self) {
-        self.room = self.room.map(|_| FIRST_ROOM);
+        self.concurrency_limit = self.concurrency_limit.map(|_| INITIAL_CONCURRENCY);
     }
 }
--- a/crates/coursestand-routing/src/fatal_requests/mod.rs
+++ b/crates/coursestand-routing/src/fatal_requests/mod.rs
@@ -224,9 +224,13 @@
         match &report.finding {
             Finding::Answered(request) => self.clear(now, *request),
             Finding::Drains { .. } => Vec::new(),
-            Finding::Ended { backend, witnesses } => {
-                let witnesses = &witnesses[..witnesses.len().min(MOST_WITNESSES)];
-                let news = self.take_end(now, *backend, witnesses, report.reporter);
+            Finding::Ended {
+                backend,
+                in_flight_requests,
+            } => {
+                let in_flight_requests =
+                    &in_flight_requests[..in_flight_requests.len().min(MOST_WITNESSES)];
+                let news = self.take_end(now, *backend, in_flight_requests, report.reporter);
                 let views = news.iter().filter_map(|request| self.view(now, *request));
                 let witnesses = views.map(CaseNews::Witness).collect();
                 [witnesses, self.convict(now)].concat()
@@ -239,15 +243,15 @@
         &mut self,
         now: Millis,
         backend: u64,
-        witnesses: &[Fingerprint],
+        in_flight_requests: &[Fingerprint],
         reporter: u64,
     ) -> Vec<Fingerprint> {
         let is_convicted = |request: &Fingerprint| {
             let case = self.cases.get(request);
             case.is_some_and(|case| case.is_convicted(now))
         };
-        let is_convicted = witnesses.iter().any(is_convicted);
-        let mut news: Vec<Fingerprint> = witnesses.to_vec();
+        let is_convicted = in_flight_requests.iter().any(is_convicted);
+        let mut news: Vec<Fingerprint> = in_flight_requests.to_vec();
         news.retain(|request| self.known_ends.add(backend, now, *request));
         if is_convicted || self.known_ends.is_explained(backend) {
             self.explain(now, &[backend]);
@@ -267,7 +271,7 @@
                 },
             );
         }
-        for request in witnesses {
+        for request in in_flight_requests {
             self.add_reporters(*request, backend, &reporters);
         }
         news
--- a/crates/coursestand-routing/src/findings.rs
+++ b/crates/coursestand-routing/src/findings.rs
@@ -1,4 +1,4 @@
-//! What an entry daemon finds out of back ends and tells the others.
+//! What an entry daemon detects about back ends and reports to the other daemons.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -6,45 +6,49 @@
 
 use crate::fatal_requests::Fingerprint;
 
-/// Findings that are remembered, to know copies of them.
-const MOST_NUMBERS: usize = 4_096;
-/// Back ends of which it is remembered who says something.
-const MOST_REPORTED: usize = 1_024;
-/// Other daemons that must say it: one that errs empties no service.
-const ENOUGH_REPORTERS: usize = 2;
+/// Maximum number of findings that are remembered to detect duplicates.
+const MAX_SEEN_FINDINGS: usize = 4_096;
+/// Maximum number of back ends whose reporters are remembered.
+const MAX_REPORTED_BACKENDS: usize = 1_024;
+/// Number of other daemons that must report the same: a single faulty daemon must not take
+/// the back ends of a service out of use.
+const REQUIRED_REPORTERS: usize = 2;
 
-/// What a daemon found out.
+/// What a daemon detected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finding {
-    /// A back end has ended: its connections broke, and nobody is at its address.
+    /// A back end crashed: its connections broke, and nothing accepts connections at its
+    /// address.
     Ended {
-        /// Tells its incarnation from all others.
+        /// Identifies its incarnation.
         backend: u64,
-        /// Requests of the daemon that were under way there.
-        witnesses: Vec<Fingerprint>,
+        /// Requests of the daemon that were in flight there at the crash.
+        #[serde(rename = "witnesses")]
+        in_flight_requests: Vec<Fingerprint>,
     },
-    /// A witness was answered; its run began after the first end that it was witness to.
+    /// A request that was in flight at a crash was answered; this run of it began after
+    /// the first crash that it was in flight at.
     Answered(Fingerprint),
-    /// A back end said with an answer that it drains. Where it can't reach control, its
-    /// answers are all that tells of it.
+    /// A back end reported with an answer that it is draining. While it can't reach the
+    /// control processes, its answers are the only source of this.
     Drains {
-        /// Tells its incarnation from all others.
+        /// Identifies its incarnation.
         backend: u64,
     },
 }
 
-/// A finding on its way to other daemons.
+/// A finding as it is sent to other daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedFinding {
-    /// Tells it from all others.
+    /// Unique number of the finding.
     pub number: u64,
-    /// Hash of the daemon's name.
+    /// Hash of the name of the daemon that reports it.
     pub reporter: u64,
-    /// What it found out.
+    /// What it detected.
     pub finding: Finding,
 }
 
-/// Knows findings again that came before: they come by several control processes.
+/// Detects duplicates of findings, which arrive through several control processes.
 #[derive(Clone, Debug, Default)]
 pub struct SeenFindings {
     numbers: HashSet<u64>,
@@ -52,13 +56,13 @@
 }
 
 impl SeenFindings {
-    /// Whether the finding with this number has not come before.
+    /// Records a finding. Returns whether it was received for the first time.
     pub fn is_first(&mut self, number: u64) -> bool {
         if !self.numbers.insert(number) {
             return false;
         }
         self.order.push_back(number);
-        if self.order.len() > MOST_NUMBERS
+        if self.order.len() > MAX_SEEN_FINDINGS
             && let Some(oldest) = self.order.pop_front()
         {
             self.numbers.remove(&oldest);
@@ -67,32 +71,33 @@
     }
 }
 
-/// Who says the same thing of which back end, such as that it drains.
+/// The daemons that report the same state of a back end, such as that it is draining.
 #[derive(Clone, Debug, Default)]
-pub struct BackendReports {
+pub struct BackendReporters {
     reporters: HashMap<u64, HashSet<u64>>,
     order: VecDeque<u64>,
 }
 
-impl BackendReports {
-    /// Another daemon says it. Returns whether enough of them do.
-    pub fn take(&mut self, backend: u64, reporter: u64) -> bool {
+impl BackendReporters {
+    /// Records a report of another daemon. Returns whether enough daemons have reported the
+    /// back end.
+    pub fn record(&mut self, backend: u64, reporter: u64) -> bool {
         if !self.reporters.contains_key(&backend) {
             self.order.push_back(backend);
-            if self.order.len() > MOST_REPORTED
+            if self.order.len() > MAX_REPORTED_BACKENDS
                 && let Some(oldest) = self.order.pop_front()
             {
                 self.reporters.remove(&oldest);
             }
         }
         let reporters = self.reporters.entry(backend).or_default();
-        if reporters.len() < ENOUGH_REPORTERS {
+        if reporters.len() < REQUIRED_REPORTERS {
             reporters.insert(reporter);
         }
-        reporters.len() >= ENOUGH_REPORTERS
+        reporters.len() >= REQUIRED_REPORTERS
     }
 
-    /// It is no longer so.
+    /// Drops all reports of the back end.
     pub fn forget(&mut self, backend: u64) {
         self.reporters.remove(&backend);
         self.order.retain(|known| *known != backend);
--- a/crates/coursestand-routing/src/lib.rs
+++ b/crates/coursestand-routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of an entry daemon about one request, free of I/O: which route it
-//! takes, which service of a split, which region, and which back end.
+//! Routing decisions of an entry daemon, free of I/O: selects the route, the service of
+//! a traffic split, the region and the back end of a request.
 //!
-//! Requests for one object meet the same back end from every daemon: the object's
-//! key has a fixed point among the shares of the regions and a fixed order of
-//! back ends within each region. Limits that sum up over all daemons (retries,
-//! requests to cold back ends) are kept by each daemon alone, within its share.
+//! Every daemon sends requests for one object to the same back end: the object's key maps
+//! to a fixed point among the shares of the regions and to a fixed order of back ends
+//! within each region. Fleet-wide limits (retries, requests to cold back ends) are divided
+//! into shares, which each daemon enforces locally.
 
 pub mod backends;
 pub mod backoff;
@@ -13,7 +13,6 @@
 pub mod fatal_requests;
 pub mod findings;
 pub mod hash;
-pub mod knowledge;
 pub mod link_admission;
 pub mod link_wait;
 pub mod picker;
@@ -24,7 +23,8 @@
 pub mod route_table;
 pub mod shares;
 pub mod split;
-pub mod unsettled;
+pub mod unresolved_copies;
+pub mod warm_objects;
 pub mod work_times;
 
 pub use backends::{Backend, BackendReport, Backends, LoadReport};
@@ -37,4 +37,4 @@
 pub use retry_allowance::RetryAllowance;
 pub use retry_budget::{RetryBudget, RetryLimits};
 pub use route_table::{RouteEntry, RouteTable};
-pub use unsettled::SentCopy;
+pub use unresolved_copies::SentCopy;
--- a/crates/coursestand-routing/src/link_wait.rs
+++ b/crates/coursestand-routing/src/link_wait.rs
@@ -1,126 +1,127 @@
-//! How long what arrives now has waited before this process read it.
+//! Estimates how long an arriving request has waited before this process read it.
 //!
-//! A request carries no time of its sending. What a daemon can see is how late the
-//! answers come that it waits for itself: they share the machine's link, the sockets and
-//! the process's threads with requests, and wait as long as those do.
+//! A request carries no send time. But the daemon can measure the delay of the answers to
+//! its own messages: they share the machine's link, the sockets and the process's threads
+//! with requests, and wait as long as requests do.
 //!
-//! A round trip of one peer says little: the peer may be the one that is late, and so may
-//! two that were cut off together. So the wait is the least of the newest three that came
-//! from different peers. Without two of them nothing is known, and the wait counts as
-//! none: peers that are silent never shorten a request's time.
+//! A late round trip of a single peer is no evidence, since the peer itself may be slow, and
+//! so may two peers that were disconnected together. The estimate is therefore the minimum
+//! delay of the latest round trips of three different peers. With fewer than two recent ones
+//! the estimate is 0: silent peers never reduce the time left for a request.
 
 use std::collections::{HashMap, VecDeque};
 
 use coursestand_model::Millis;
 
-/// Peers whose newest round trips are compared.
+/// Number of peers whose latest round trips are compared.
 const COMPARED_PEERS: usize = 3;
-/// Peers of which the wait is known at least.
-const LEAST_PEERS: usize = 2;
-/// A round trip counts for this long: signs of life to five control processes are
-/// answered every 200 ms, so that two count at any time.
-const COUNTS_FOR_MS: Millis = 500;
-/// The least round trip to a peer is that of this time or twice as long: long enough to
-/// outlast a queue, short enough to follow ways that change.
-const LEAST_OF_MS: Millis = 30_000;
+/// Minimum number of peers with a recent round trip.
+const MIN_PEERS: usize = 2;
+/// Time for which a round trip counts as recent: heartbeats to five control processes are
+/// answered every 200 ms, so that two are recent at any time.
+const RECENT_MS: Millis = 500;
+/// Period over which the minimum round trip to a peer is taken; the previous period counts
+/// too. Long enough to outlast a queue, short enough to follow changes of the network path.
+const MIN_ROUND_TRIP_PERIOD_MS: Millis = 30_000;
 
-/// The least round trip to a peer in the present period and in the one before.
+/// The minimum round trip to a peer in the current period and in the previous one.
 #[derive(Clone, Copy, Debug)]
-struct LeastRoundTrip {
+struct MinRoundTrip {
     period_since: Millis,
-    present_ms: f64,
-    before_ms: f64,
+    current_ms: f64,
+    previous_ms: f64,
 }
 
-impl LeastRoundTrip {
-    fn first(now: Millis, took_ms: f64) -> LeastRoundTrip {
-        LeastRoundTrip {
+impl MinRoundTrip {
+    fn first(now: Millis, took_ms: f64) -> MinRoundTrip {
+        MinRoundTrip {
             period_since: now,
-            present_ms: took_ms,
-            before_ms: took_ms,
+            current_ms: took_ms,
+            previous_ms: took_ms,
         }
     }
 
-    fn take(&mut self, now: Millis, took_ms: f64) {
-        if now.saturating_sub(self.period_since) >= LEAST_OF_MS {
-            self.before_ms = self.present_ms;
-            self.present_ms = took_ms;
+    fn record(&mut self, now: Millis, took_ms: f64) {
+        if now.saturating_sub(self.period_since) >= MIN_ROUND_TRIP_PERIOD_MS {
+            self.previous_ms = self.current_ms;
+            self.current_ms = took_ms;
             self.period_since = now;
         }
-        self.present_ms = self.present_ms.min(took_ms);
+        self.current_ms = self.current_ms.min(took_ms);
     }
 
-    fn least_ms(self) -> f64 {
-        self.present_ms.min(self.before_ms)
+    fn min_ms(self) -> f64 {
+        self.current_ms.min(self.previous_ms)
     }
 
-    /// Whether no round trip was taken in for so long that all of them are too old.
-    fn is_over(self, now: Millis) -> bool {
-        now.saturating_sub(self.period_since) >= 2 * LEAST_OF_MS
+    /// Returns whether all recorded round trips are too old to count.
+    fn is_expired(self, now: Millis) -> bool {
+        now.saturating_sub(self.period_since) >= 2 * MIN_ROUND_TRIP_PERIOD_MS
     }
 }
 
-/// How much longer than needed a round trip took, and when it ended.
+/// Delay of a round trip in excess of the minimum one, and the time at which it ended.
 #[derive(Clone, Copy, Debug)]
 struct Delay {
     peer: u64,
-    noted_at: Millis,
-    late_ms: f64,
+    ended_at: Millis,
+    excess_ms: f64,
 }
 
 impl Delay {
-    fn counts(self, now: Millis) -> bool {
-        now.saturating_sub(self.noted_at) <= COUNTS_FOR_MS
+    fn is_recent(self, now: Millis) -> bool {
+        now.saturating_sub(self.ended_at) <= RECENT_MS
     }
 }
 
-/// Estimates the wait from round trips.
+/// Estimates the wait of requests from round trips.
 #[derive(Debug, Default)]
 pub struct LinkWait {
-    least: HashMap<u64, LeastRoundTrip>,
-    /// The newest one of each peer, for the peers heard last, newest first.
-    newest: VecDeque<Delay>,
+    min_round_trips: HashMap<u64, MinRoundTrip>,
+    /// The latest delay of each of the peers that answered last, latest first.
+    latest: VecDeque<Delay>,
 }
 
 impl LinkWait {
-    /// A round trip to `peer` ended `now`. `peer` is any number that tells those apart
-    /// whose distance differs; peers of one number count as one.
+    /// Records a round trip to `peer` that ended at `now` and took `took_ms`. Peers with the
+    /// same number count as one; peers with different latencies must differ in number.
     pub fn note_round_trip(&mut self, now: Millis, peer: u64, took_ms: f64) {
-        self.forget_old(now);
-        let least = self
-            .least
+        self.drop_expired(now);
+        let min_round_trip = self
+            .min_round_trips
             .entry(peer)
-            .or_insert_with(|| LeastRoundTrip::first(now, took_ms));
-        least.take(now, took_ms);
+            .or_insert_with(|| MinRoundTrip::first(now, took_ms));
+        min_round_trip.record(now, took_ms);
         let delay = Delay {
             peer,
-            noted_at: now,
-            late_ms: took_ms - least.least_ms(),
+            ended_at: now,
+            excess_ms: took_ms - min_round_trip.min_ms(),
         };
-        self.newest.retain(|known| known.peer != peer);
-        self.newest.push_front(delay);
-        self.newest.truncate(COMPARED_PEERS);
+        self.latest.retain(|known| known.peer != peer);
+        self.latest.push_front(delay);
+        self.latest.truncate(COMPARED_PEERS);
     }
 
-    /// How long what arrives `now` has waited, in milliseconds; 0 when nothing is known.
-    /// While a queue grows this lags behind by the time between two round trips.
+    /// Returns the estimated wait of a request that is read at `now`, in milliseconds; 0
+    /// without recent round trips. While a queue grows, the estimate lags behind by the time
+    /// between two round trips.
     pub fn wait_ms(&self, now: Millis) -> Millis {
-        let counting = || self.newest.iter().filter(|delay| delay.counts(now));
-        if counting().count() < LEAST_PEERS {
+        let recent = || self.latest.iter().filter(|delay| delay.is_recent(now));
+        if recent().count() < MIN_PEERS {
             return 0;
         }
-        let least = counting().map(|delay| delay.late_ms).reduce(f64::min);
-        least.unwrap_or(0.0) as Millis
+        let minimum = recent().map(|delay| delay.excess_ms).reduce(f64::min);
+        minimum.unwrap_or(0.0) as Millis
     }
 
-    /// Peers come and go: what is too old to count takes no room.
-    fn forget_old(&mut self, now: Millis) {
-        let is_due = self
-            .newest
-            .front()
-            .is_none_or(|newest| newest.noted_at / LEAST_OF_MS != now / LEAST_OF_MS);
+    /// Drops the minimum round trips of peers that have not answered for a long time.
+    fn drop_expired(&mut self, now: Millis) {
+        let is_due = self.latest.front().is_none_or(|latest| {
+            latest.ended_at / MIN_ROUND_TRIP_PERIOD_MS != now / MIN_ROUND_TRIP_PERIOD_MS
+        });
         if is_due {
-            self.least.retain(|_, least| !least.is_over(now));
+            self.min_round_trips
+                .retain(|_, min_round_trip| !min_round_trip.is_expired(now));
         }
     }
 }
--- a/crates/coursestand-routing/src/picker.rs
+++ b/crates/coursestand-routing/src/picker.rs
@@ -1,157 +1,157 @@
-//! Picks the back end of a request.
+//! Selects the back end of a request.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use coursestand_catalog::Catalog;
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
 
-use crate::backends::{Backend, Backends, ReportTrust};
+use crate::backends::{Backend, Backends, ReportDecay};
 use crate::cold::{ColdGate, ColdLimits, OwnerViews};
 use crate::completion::{Candidate, choose};
 use crate::hash::{combine, hash_of, unit_point};
-use crate::knowledge::Knowledge;
 use crate::ranking::first_ranked;
 use crate::rate_limit::LimitAccess;
 use crate::shares::RegionShares;
+use crate::warm_objects::WarmObjects;
 use crate::work_times::{Work, WorkTimes};
 
-/// Back ends among which a key chooses, in its order. More than one matter only
-/// where a first run is cheap against a queue (design note 0007).
-const CHOICES: usize = 3;
+/// Number of a key's highest-ranked back ends that are candidates. Lower ranks matter only
+/// where a first run of an object costs little compared to a queue (design note 0007).
+const MAX_CANDIDATES: usize = 3;
 
-/// What a pick depends on.
+/// The input of a selection.
 #[derive(Clone, Debug)]
 pub struct PickRequest<'a> {
     /// The service.
     pub service: &'a ServiceId,
-    /// Hash of the object that the request concerns, or any number.
+    /// Hash of the object that the request concerns, or an arbitrary number if there is none.
     pub key: u64,
-    /// Whether a back end that saw the object recently is quicker.
+    /// Whether a back end that served the object recently answers faster.
     pub has_object: bool,
-    /// Time within which the answer is wanted, in milliseconds.
+    /// Target latency of the answer, in milliseconds.
     pub objective_ms: Millis,
-    /// Regions that may serve it; empty for all.
+    /// Regions that may serve the request; empty for all.
     pub allowed_regions: &'a [RegionId],
-    /// Back ends that it was sent to already.
+    /// Back ends to which the request has already been sent.
     pub excluded: &'a [BackendId],
-    /// How it may reach back ends that named a rate limit.
+    /// Access of the request to back ends that reported a rate limit.
     pub limits: LimitAccess,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// The back end of a request, and what decided.
+/// The selected back end of a request, and the state that the selection was based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
     /// The back end.
     pub id: BackendId,
     /// Its rank for the key within its region, from 0.
     pub rank: usize,
-    /// Its load as known.
+    /// Its estimated load, in requests.
     pub load: f64,
-    /// Age of that knowledge in milliseconds.
+    /// Age of its latest load report, in milliseconds.
     pub load_age_ms: Millis,
     /// Whether it is cold.
     pub is_cold: bool,
-    /// Whether this daemon has seen that it knows the object.
-    pub knows: bool,
-    /// Whether a slot was thought to be free.
+    /// Whether it is warm for the object, as observed by this daemon.
+    pub is_warm: bool,
+    /// Whether a slot was estimated to be free.
     pub is_free: bool,
-    /// Time in which an answer is expected if it is as quick as its peers, in
-    /// milliseconds; none before anything is learned.
+    /// Expected time to the answer if the back end is as fast as its peers, in
+    /// milliseconds; `None` before any answers were measured.
     pub expected_ms: Option<f64>,
 }
 
-/// A request that was sent, as far as its answer tells something.
+/// A request that was sent, with what is needed to learn from its answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
-    /// Hash of its object, if a back end that saw it is quicker.
+pub struct SentRequest {
+    /// Hash of its object, if a back end that served it recently answers faster.
     pub object: Option<u64>,
-    /// Where it went.
+    /// The back end to which it was sent.
     pub pick: Pick,
 }
 
-/// Why no back end was picked.
+/// Reason why no back end was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The service has no back end that may be used.
+    /// The service has no eligible back end.
     NoBackend,
-    /// All back ends that may be used asked for a back-off.
+    /// All eligible back ends requested a back-off.
     BackingOff {
-        /// After which the first of them takes a request again, in milliseconds.
+        /// Time until the first of them accepts a request again, in milliseconds.
         ends_in_ms: Millis,
     },
-    /// All back ends that may be used are at the rate limit that they named.
+    /// All eligible back ends are at their rate limits.
     RateLimited {
-        /// After which the first of them may take a request, in milliseconds.
+        /// Time until the first of them may be sent a request, in milliseconds.
         again_in_ms: Millis,
     },
-    /// All of them have more than they can work off in time.
+    /// All candidates have longer queues than they can process within the objective.
     Busy {
-        /// After which that is likely to have changed, in milliseconds.
+        /// Time after which the queue is expected to be short enough, in milliseconds.
         drained_in_ms: Millis,
     },
 }
 
-/// Where this daemon is, and the bounds that hold in its deployment.
+/// Location of this daemon, and the limits of its deployment.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct PickerConfig {
     /// Name of this daemon.
     pub daemon: String,
     /// Its region.
     pub region: RegionId,
-    /// The region of each zone.
+    /// The region of each zone in the deployment.
     pub zones: BTreeMap<ZoneId, RegionId>,
-    /// Bound on requests to cold back ends.
+    /// Limits on requests to cold back ends.
     pub cold: ColdLimits,
-    /// How load is balanced.
+    /// Load balancing parameters.
     pub balance: Balance,
 }
 
-/// How load is balanced.
+/// Load balancing parameters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Balance {
-    /// Load over capacity from which on a back end gets nothing more, unless
-    /// the request is expected to be done within its objective all the same.
+    /// Ratio of load to capacity from which on a back end gets no more requests, except
+    /// those that are expected to complete within their objective.
     pub hard_load: f64,
-    /// How long load reports are believed.
-    pub trust: ReportTrust,
+    /// How the weight of load reports decreases with their age.
+    pub report_decay: ReportDecay,
 }
 
-/// Picks back ends for one daemon.
+/// Selects back ends for one daemon.
 pub struct Picker {
-    place: Place,
+    config: PickerConfig,
     gate: ColdGate,
     shares: HashMap<(ServiceId, Vec<RegionId>), RegionShares>,
-    /// What requests to back ends of a service in a zone take.
+    /// Measured times of requests to the back ends of a service in a zone.
     times: HashMap<(ServiceId, ZoneId), WorkTimes>,
-    knowledge: Knowledge,
+    warm_objects: WarmObjects,
 }
 
 impl Picker {
-    /// A picker for a daemon at `place`.
-    pub fn new(place: Place) -> Picker {
+    /// Returns a picker with this configuration.
+    pub fn new(config: PickerConfig) -> Picker {
         Picker {
-            place,
+            config,
             gate: ColdGate::default(),
             shares: HashMap::new(),
             times: HashMap::new(),
-            knowledge: Knowledge::default(),
+            warm_objects: WarmObjects::default(),
         }
     }
 
-    /// Name of this daemon.
+    /// Returns the name of this daemon.
     pub fn daemon(&self) -> &str {
-        &self.place.daemon
+        &self.config.daemon
     }
 
-    /// Back ends or evacuations changed: shares are worked out anew.
+    /// Drops the cached region shares after a change of back ends or evacuations.
     pub fn invalidate(&mut self, now: Millis) {
         self.shares.clear();
         self.gate.forget_idle(now);
     }
 
-    /// Picks the back end of a request.
+    /// Selects the back end of a request.
     pub fn pick(
         &mut self,
         backends: &Backends,
@@ -165,24 +165,24 @@
             .filter(|backend| self.may_serve(backend, catalog, request.allowed_regions))
             .filter(|backend| !request.excluded.contains(&backend.instance.id))
             .collect();
-        let none_left = refusal_without(&usable, request.now);
+        let refusal_if_none = refusal_of_all(&usable, request.now);
         usable.retain(|backend| {
-            backend.has_room(request.now) && backend.admits(request.now, &request.limits)
+            backend.has_capacity(request.now) && backend.admits(request.now, &request.limits)
         });
         if usable.is_empty() {
-            return Err(none_left);
+            return Err(refusal_if_none);
         }
-        let warm: Vec<&Backend> = usable
+        let in_service: Vec<&Backend> = usable
             .iter()
             .copied()
             .filter(|backend| !backend.is_cold(request.now) && !backend.is_ejected(request.now))
             .collect();
-        let (near, far): (Vec<&Backend>, Vec<&Backend>) = warm
+        let (near, far): (Vec<&Backend>, Vec<&Backend>) = in_service
             .into_iter()
             .partition(|backend| self.region_of(backend) == home.as_ref());
-        // Requests that spill over to where their objects are not known cost
-        // several times the work, and push known objects out: a region takes the
-        // keys of another one only when that has no back end left.
+        // A request that spills over to back ends that are not warm for its object takes
+        // several times the work and evicts other warm objects. So a region serves the
+        // keys of another one only if that one has no back end left.
         let group = if near.is_empty() { far } else { near };
         let refusal = match self.pick_among(&group, request) {
             Ok(pick) => return Ok(pick),
@@ -194,26 +194,33 @@
         if matches!(refusal, Refusal::Busy { .. }) {
             return Err(refusal);
         }
-        self.pick_ejected(&usable, request).ok_or(none_left)
+        self.pick_ejected(&usable, request).ok_or(refusal_if_none)
     }
 
-    /// A back end answered a request after `took_ms`.
-    pub fn note_answer(&mut self, now: Millis, backend: &Backend, asked: &Asked, took_ms: f64) {
-        if asked.pick.is_free {
-            let place = (
+    /// Records that a back end answered a request after `took_ms`.
+    pub fn note_answer(
+        &mut self,
+        now: Millis,
+        backend: &Backend,
+        sent: &SentRequest,
+        took_ms: f64,
+    ) {
+        if sent.pick.is_free {
+            let key = (
                 backend.instance.service.clone(),
                 backend.instance.zone.clone(),
             );
-            let times = self.times.entry(place).or_default();
-            times.learn(asked.pick.knows, took_ms);
+            let times = self.times.entry(key).or_default();
+            times.record(sent.pick.is_warm, took_ms);
         }
-        if let Some(object) = asked.object {
+        if let Some(object) = sent.object {
             let object = combine(hash_of(backend.instance.service.as_str()), object);
-            self.knowledge.note(now, object, backend.memory);
+            self.warm_objects
+                .record(now, object, backend.incarnation_hash);
         }
     }
 
-    /// A request goes to a back end; counts it if the back end is cold.
+    /// Counts a request sent to a back end if the back end is cold.
     pub fn note_sent(&mut self, now: Millis, backend: &Backend) {
         if backend.is_cold(now) {
             self.gate.note(now, &backend.instance.id);
@@ -221,7 +228,7 @@
     }
 
     fn region_of(&self, backend: &Backend) -> Option<&RegionId> {
-        self.place.zones.get(&backend.instance.zone)
+        self.config.zones.get(&backend.instance.zone)
     }
 
     fn may_serve(&self, backend: &Backend, catalog: &Catalog, allowed: &[RegionId]) -> bool {
@@ -232,21 +239,21 @@
         is_allowed && backend.is_ready() && !catalog.is_evacuated(&backend.instance.zone)
     }
 
-    /// The region in which the key has its place.
+    /// Returns the region to which the key is assigned.
     fn home_region(
         &mut self,
         backends: &Backends,
         catalog: &Catalog,
         request: &PickRequest<'_>,
     ) -> Option<RegionId> {
-        let known = (request.service.clone(), request.allowed_regions.to_vec());
+        let cache_key = (request.service.clone(), request.allowed_regions.to_vec());
         let point = unit_point(combine(hash_of(request.service.as_str()), request.key));
-        if let Some(shares) = self.shares.get(&known) {
+        if let Some(shares) = self.shares.get(&cache_key) {
             return shares.region_at(point).cloned();
         }
         let mut capacity: BTreeMap<RegionId, f64> = BTreeMap::new();
-        // Back ends that are cold or left out for a moment count as well, so that
-        // keys don't move for something that passes.
+        // Cold and ejected back ends also count, so that keys don't move because of
+        // transient states.
         for backend in backends.of_service(request.service) {
             if self.may_serve(backend, catalog, request.allowed_regions)
                 && let Some(region) = self.region_of(backend)
@@ -255,14 +262,15 @@
                     f64::from(backend.instance.capacity);
             }
         }
-        let regions: BTreeSet<&RegionId> = self.place.zones.values().collect();
-        let shares = RegionShares::new(&self.place.region, &capacity, regions.len());
+        let regions: BTreeSet<&RegionId> = self.config.zones.values().collect();
+        let shares = RegionShares::new(&self.config.region, &capacity, regions.len());
         let region = shares.region_at(point).cloned();
-        self.shares.insert(known, shares);
+        self.shares.insert(cache_key, shares);
         region
     }
 
-    /// Cold back ends serve what no other can, within this daemon's share.
+    /// Selects a cold back end that this daemon owns, within the daemon's share of its limit.
+    /// Used only when no other back end can serve the request.
     fn pick_cold(
         &mut self,
         usable: &[&Backend],
@@ -271,7 +279,7 @@
         request: &PickRequest<'_>,
     ) -> Option<Pick> {
         let per_second = catalog.service(request.service)?.cold_per_second;
-        let share = self.place.cold.share_of_owner(per_second);
+        let share = self.config.cold.owner_share(per_second);
         let now = request.now;
         let cold = usable
             .iter()
@@ -279,15 +287,16 @@
             .filter(|backend| backend.is_cold(now) && !backend.is_ejected(now));
         for backend in cold {
             let id = &backend.instance.id;
-            let is_owner = owners.is_owner(now, &self.place.daemon, id);
-            if is_owner && self.gate.has_room(now, id, share) {
+            let is_owner = owners.is_owner(now, &self.config.daemon, id);
+            if is_owner && self.gate.has_capacity(now, id, share) {
                 return Some(self.pick_of(backend, 0, request));
             }
         }
         None
     }
 
-    /// With nothing better left, the back end with the fewest requests.
+    /// Selects the back end with the fewest requests in flight, ejected ones included. Used
+    /// as the last resort.
     fn pick_ejected(&self, usable: &[&Backend], request: &PickRequest<'_>) -> Option<Pick> {
         usable
             .iter()
@@ -298,23 +307,26 @@
 
     fn work_at(&self, backend: &Backend) -> Option<Work> {
         let instance = &backend.instance;
-        let place = (instance.service.clone(), instance.zone.clone());
-        self.times.get(&place).and_then(WorkTimes::work)
+        let key = (instance.service.clone(), instance.zone.clone());
+        self.times.get(&key).and_then(WorkTimes::work)
     }
 
-    fn knows(&self, backend: &Backend, request: &PickRequest<'_>) -> bool {
+    fn is_warm(&self, backend: &Backend, request: &PickRequest<'_>) -> bool {
         let object = combine(hash_of(request.service.as_str()), request.key);
-        !request.has_object || self.knowledge.knows(request.now, object, backend.memory)
+        !request.has_object
+            || self
+                .warm_objects
+                .is_warm(request.now, object, backend.incarnation_hash)
     }
 
-    /// What is believed of a back end. The first of the key's order is taken to
-    /// know the object: all daemons of the region send it there.
+    /// Returns the estimated state of a back end for the request. The first back end in the
+    /// key's order counts as warm: all daemons of the region send the object there.
     fn candidate(&self, backend: &Backend, rank: usize, request: &PickRequest<'_>) -> Candidate {
         Candidate {
-            load: backend.load(request.now, self.place.balance.trust),
+            load: backend.load(request.now, self.config.balance.report_decay),
             slots: f64::from(backend.instance.capacity.max(1)),
             is_first: rank == 0,
-            knows: rank == 0 || self.knows(backend, request),
+            is_warm: rank == 0 || self.is_warm(backend, request),
         }
     }
 
@@ -328,14 +340,14 @@
             load: candidate.load,
             load_age_ms: backend.load_age(request.now),
             is_cold: backend.is_cold(request.now),
-            knows: self.knows(backend, request),
+            is_warm: self.is_warm(backend, request),
             is_free: candidate.is_free(),
-            expected_ms: work.map(|work| wait_ms + work.known_ms),
+            expected_ms: work.map(|work| wait_ms + work.warm_ms),
         }
     }
 
-    /// The back end of the key's first ranks that has the request done at the
-    /// least cost. Other back ends don't know the object.
+    /// Selects the back end with the lowest cost among the highest-ranked ones of the key.
+    /// Back ends of lower ranks are not warm for the object.
     fn pick_among(&self, group: &[&Backend], request: &PickRequest<'_>) -> Result<Pick, Refusal> {
         if group.is_empty() {
             return Err(Refusal::NoBackend);
@@ -344,29 +356,29 @@
             let weight = f64::from(backend.instance.capacity.max(1));
             (*backend, backend.hash, weight)
         });
-        let chosen: Vec<&Backend> = first_ranked(request.key, weighted, CHOICES);
-        let candidates: Vec<Candidate> = chosen
+        let ranked: Vec<&Backend> = first_ranked(request.key, weighted, MAX_CANDIDATES);
+        let candidates: Vec<Candidate> = ranked
             .iter()
             .enumerate()
             .map(|(rank, backend)| self.candidate(backend, rank, request))
             .collect();
-        let work = chosen.first().and_then(|backend| self.work_at(backend));
+        let work = ranked.first().and_then(|backend| self.work_at(backend));
         let objective_ms = request.objective_ms as f64;
-        let hard_load = self.place.balance.hard_load;
+        let hard_load = self.config.balance.hard_load;
         let rank = choose(&candidates, work.as_ref(), objective_ms, hard_load).map_err(|busy| {
             Refusal::Busy {
                 drained_in_ms: busy.drained_in_ms as Millis,
             }
         })?;
-        Ok(self.pick_of(chosen[rank], rank, request))
+        Ok(self.pick_of(ranked[rank], rank, request))
     }
 }
 
-/// Why a request is refused that none of `usable` takes now: the first back-off that ends, or
-/// the first token that may be issued, changes that.
-fn refusal_without(usable: &[&Backend], now: Millis) -> Refusal {
+/// Returns the refusal of a request that none of the `usable` back ends accepts: the one
+/// whose back-off ends first, or for which a token may be issued first, determines it.
+fn refusal_of_all(usable: &[&Backend], now: Millis) -> Refusal {
     let refusals = usable.iter().filter_map(|backend| {
-        if !backend.has_room(now) {
+        if !backend.has_capacity(now) {
             let ends_in_ms = backend.backoff_left_ms(now);
             return Some((ends_in_ms, Refusal::BackingOff { ends_in_ms }));
         }
--- a/crates/coursestand-routing/src/retry_budget.rs
+++ b/crates/coursestand-routing/src/retry_budget.rs
@@ -1,67 +1,68 @@
-//! Bounds the requests that are sent a second time, summed over all daemons, in every
-//! window, wherever it begins.
+//! Bounds the number of retried requests in any sliding window, summed over all daemons.
 //!
-//! A daemon has retries from two sources. Each request that it reads earns a part of one,
-//! which expires unless it is spent soon; a process that starts has earned nothing, so that
-//! the sum holds with any number of daemons and of their lives, without any talk between
-//! them. Besides, a fixed allowance of the whole deployment is divided among the daemons:
-//! see [`crate::retry_allowance`]. What was granted and has not arrived holds a retry back:
-//! see [`crate::unsettled`].
+//! A daemon obtains retries from two sources. Each request that it reads earns a fraction of
+//! a retry, which expires soon; a starting process has earned none, so that the bound holds
+//! for any number of daemons and incarnations without coordination. In addition, a fixed
+//! allowance of the deployment is divided among the daemons, see
+//! [`crate::retry_allowance`]. Copies that were sent and may still arrive withhold retries,
+//! see [`crate::unresolved_copies`].
 
 use std::collections::VecDeque;
 
 use coursestand_model::Millis;
 
 use crate::retry_allowance::RetryAllowance;
-use crate::unsettled::UnsettledCopies;
-
-/// Part of the allowed ratio that requests earn. Those of half a window before a window
-/// can pay for retries in it, and may be as many as all that count for the bound: with one
-/// half, both together stay below it.
-const EARNED_PART: f64 = 0.5;
-/// Part of a window for which what a request earned can be spent. The other half is left
-/// for the time that a request waits before it is read and its retry takes to arrive.
-const LIFETIME_PART: Millis = 2;
-/// Steps in which what was earned expires.
+use crate::unresolved_copies::UnresolvedCopies;
+
+/// Fraction of the allowed ratio that requests earn. Requests of the half window before a
+/// window can also pay for retries in it, and may be as many as those inside it, which count
+/// for the bound: with one half, both together stay within the bound.
+const EARNED_FRACTION: f64 = 0.5;
+/// Divisor of the window that gives the lifetime of earned retries. The other half of the
+/// window allows for the wait of a request before it is read and for the transit of its retry.
+const LIFETIME_DIVISOR: Millis = 2;
+/// Number of steps in which earned retries expire.
 const EXPIRY_STEPS: Millis = 5;
-/// Sums of parts may miss a whole retry by this much.
+/// Tolerance for rounding errors in sums of fractions of retries.
 const ROUNDING: f64 = 1e-9;
 
-/// Bounds of the whole deployment.
+/// Limits of the whole deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries in each window besides.
+    /// Additional retries per window.
     pub extra: f64,
-    /// The window in milliseconds.
+    /// Length of the window in milliseconds.
     pub window_ms: Millis,
 }
 
 impl RetryLimits {
-    /// Longest time from granting a retry to its arrival that is allowed for, and a window.
+    /// Returns the window plus the maximum time allowed between the grant of a retry and its
+    /// arrival, in milliseconds.
     pub fn span_ms(&self) -> Millis {
-        self.window_ms + self.window_ms / LIFETIME_PART
+        self.window_ms + self.window_ms / LIFETIME_DIVISOR
     }
 
-    /// Whether what was sent then arrives too late for what has paid for it.
+    /// Returns whether a copy sent at `sent_at` arrives after the retry that it was charged to
+    /// has expired.
     pub fn is_late(&self, now: Millis, sent_at: Millis) -> bool {
-        now >= sent_at + self.window_ms / LIFETIME_PART
+        now >= sent_at + self.window_ms / LIFETIME_DIVISOR
     }
 
     fn step_ms(&self) -> Millis {
-        (self.window_ms / LIFETIME_PART / EXPIRY_STEPS).max(1)
+        (self.window_ms / LIFETIME_DIVISOR / EXPIRY_STEPS).max(1)
     }
 }
 
-/// What requests have earned, by the step of time in which they came.
+/// Retries earned by requests, by the time step in which the requests arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Earned {
     steps: VecDeque<(u64, f64)>,
 }
 
 impl Earned {
-    fn forget(&mut self, now: Millis, limits: RetryLimits) {
+    fn drop_expired(&mut self, now: Millis, limits: RetryLimits) {
         let step = now / limits.step_ms();
         while self
             .steps
@@ -73,10 +74,10 @@
     }
 
     fn add(&mut self, now: Millis, limits: RetryLimits, retries: f64) {
-        self.forget(now, limits);
+        self.drop_expired(now, limits);
         let step = now / limits.step_ms();
         match self.steps.back_mut() {
-            Some((newest, sum)) if *newest == step => *sum += retries,
+            Some((latest, sum)) if *latest == step => *sum += retries,
             _ => self.steps.push_back((step, retries)),
         }
     }
@@ -90,7 +91,7 @@
             .sum()
     }
 
-    /// Takes one retry, of the oldest that are left.
+    /// Deducts one retry, oldest fractions first.
     fn take(&mut self) {
         let mut wanted = 1.0;
         while let Some((_, sum)) = self.steps.front_mut() {
@@ -104,36 +105,36 @@
     }
 }
 
-/// Retries of one daemon to one service.
+/// The retry budget of one daemon for one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetryBudget {
     earned: Earned,
-    /// When retries were taken from the allowance.
-    from_allowance: VecDeque<Millis>,
-    unsettled: UnsettledCopies,
+    /// Times at which retries were taken from the allowance.
+    taken_from_allowance: VecDeque<Millis>,
+    unresolved: UnresolvedCopies,
 }
 
 impl RetryBudget {
-    /// A request came in.
+    /// Records that a request was read.
     pub fn earn(&mut self, now: Millis, limits: RetryLimits) {
-        self.earned.add(now, limits, EARNED_PART * limits.ratio);
+        self.earned.add(now, limits, EARNED_FRACTION * limits.ratio);
     }
 
-    /// The copies that hold retries back.
-    pub fn unsettled(&mut self) -> &mut UnsettledCopies {
-        &mut self.unsettled
+    /// Returns the unresolved copies, which withhold retries.
+    pub fn unresolved(&mut self) -> &mut UnresolvedCopies {
+        &mut self.unresolved
     }
 
-    /// Retries that are held back for copies which may still arrive.
-    pub fn held(&self, now: Millis, limits: RetryLimits) -> usize {
-        self.unsettled.held(now, limits)
+    /// Returns the number of retries that are withheld for copies that may still arrive.
+    pub fn withheld(&self, now: Millis, limits: RetryLimits) -> usize {
+        self.unresolved.withheld(now, limits)
     }
 
-    /// Takes one retry, if there is one.
+    /// Spends one retry if available. Returns whether it was.
     pub fn spend(&mut self, now: Millis, limits: RetryLimits, allowance: &RetryAllowance) -> bool {
-        self.earned.forget(now, limits);
-        self.forget_spent(now, limits);
-        self.unsettled.prune(now, limits);
+        self.earned.drop_expired(now, limits);
+        self.drop_expired_spending(now, limits);
+        self.unresolved.prune(now, limits);
         if self.left(now, limits, allowance) < 1.0 - ROUNDING {
             return false;
         }
@@ -141,36 +142,41 @@
             self.earned.take();
             return true;
         }
-        let may_take = self.allowed(now, limits, allowance) >= 1;
+        let may_take = self.allowance_left(now, limits, allowance) >= 1;
         if may_take {
-            self.from_allowance.push_back(now);
+            self.taken_from_allowance.push_back(now);
         }
         may_take
     }
 
-    /// Retries that are left.
+    /// Returns the number of available retries.
     pub fn left(&self, now: Millis, limits: RetryLimits, allowance: &RetryAllowance) -> f64 {
-        let allowed = self.allowed(now, limits, allowance) as f64;
-        let held = self.held(now, limits) as f64;
-        (self.earned.left(now, limits) + allowed - held).max(0.0)
+        let allowance_left = self.allowance_left(now, limits, allowance) as f64;
+        let withheld = self.withheld(now, limits) as f64;
+        (self.earned.left(now, limits) + allowance_left - withheld).max(0.0)
     }
 
-    /// Retries that are left of this daemon's part of the allowance.
-    fn allowed(&self, now: Millis, limits: RetryLimits, allowance: &RetryAllowance) -> usize {
+    /// Returns the unspent retries of this daemon's share of the allowance.
+    fn allowance_left(
+        &self,
+        now: Millis,
+        limits: RetryLimits,
+        allowance: &RetryAllowance,
+    ) -> usize {
         let span_ms = limits.span_ms();
-        let spent = self.from_allowance.iter();
+        let spent = self.taken_from_allowance.iter();
         let spent = spent.filter(|at| now < **at + span_ms).count();
-        allowance.part(now).saturating_sub(spent)
+        allowance.share(now).saturating_sub(spent)
     }
 
-    fn forget_spent(&mut self, now: Millis, limits: RetryLimits) {
+    fn drop_expired_spending(&mut self, now: Millis, limits: RetryLimits) {
         let span_ms = limits.span_ms();
         while self
-            .from_allowance
+            .taken_from_allowance
             .front()
             .is_some_and(|at| at + span_ms <= now)
         {
-            self.from_allowance.pop_front();
+            self.taken_from_allowance.pop_front();
         }
     }
 }
--- a/crates/coursestand-routing/src/route_table.rs
+++ b/crates/coursestand-routing/src/route_table.rs
@@ -1,5 +1,5 @@
-//! Finds the route of a request: that of its host whose prefix begins the path
-//! and is the longest.
+//! Finds the route of a request: the route of its host with the longest prefix that matches
+//! the path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     pub name: String,
     /// Its version.
     pub version: ItemVersion,
-    /// Its content.
+    /// Its definition.
     pub route: Route,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl RouteTable {
-    /// The routes that stand in `catalog`.
+    /// Builds the table of the routes in `catalog`.
     pub fn new(catalog: &Catalog) -> RouteTable {
         let mut by_host: HashMap<String, Vec<Arc<RouteEntry>>> = HashMap::new();
         for (name, version, route) in catalog.routes() {
@@ -44,8 +44,8 @@
                     .path_prefix
                     .len()
                     .cmp(&left.route.path_prefix.len());
-                // Two routes at one place: the later one, then by name, so that
-                // every daemon chooses the same.
+                // Of routes with the same host and prefix, the later version comes first,
+                // then the lower name, so that every daemon chooses the same one.
                 by_length
                     .then(right.version.cmp(&left.version))
                     .then(left.name.cmp(&right.name))
@@ -54,7 +54,7 @@
         RouteTable { by_host }
     }
 
-    /// The route of a request. `host` may carry a port.
+    /// Returns the route of a request, if any. `host` may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
--- a/crates/coursestand-routing/src/shares.rs
+++ b/crates/coursestand-routing/src/shares.rs
@@ -1,53 +1,60 @@
-//! Which part of a region's requests each region serves.
+//! Divides a region's requests among the regions.
 //!
-//! Each region serves its own clients first. A region whose back ends are fewer
-//! than its part of the demand sends the rest to the regions that have more than
-//! theirs. Without better knowledge every region with clients counts as an equal
-//! part of the demand.
+//! Each region serves its own clients first. A region whose capacity is less than its share
+//! of the demand sends the excess to the regions with spare capacity. Since the actual demand
+//! is unknown, all regions with clients are assumed to have equal demand.
 
 use std::collections::BTreeMap;
 
 use coursestand_model::RegionId;
 
-/// Shares of the regions in a fixed order; they sum up to 1.
+/// Shares of the regions in a fixed order. They sum up to 1, unless there is no capacity.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegionShares {
     shares: Vec<(RegionId, f64)>,
 }
 
 impl RegionShares {
-    /// Shares for the clients of `own`. `capacity` holds each region with back
-    /// ends, `demanding` is the number of regions with clients.
+    /// Returns the shares for the clients of `local_region`. `capacity` contains each region
+    /// with back ends, `client_regions` is the number of regions with clients.
     pub fn new(
-        own: &RegionId,
+        local_region: &RegionId,
         capacity: &BTreeMap<RegionId, f64>,
-        demanding: usize,
+        client_regions: usize,
     ) -> RegionShares {
         let total: f64 = capacity.values().sum();
         if total <= 0.0 {
             return RegionShares::default();
         }
-        let demand = total / demanding.max(1) as f64;
-        let at_home = capacity.get(own).copied().unwrap_or(0.0).min(demand) / demand;
+        let demand = total / client_regions.max(1) as f64;
+        let local_share = capacity
+            .get(local_region)
+            .copied()
+            .unwrap_or(0.0)
+            .min(demand)
+            / demand;
         let spare: f64 = capacity
             .iter()
-            .filter(|(region, _)| *region != own)
+            .filter(|(region, _)| *region != local_region)
             .map(|(_, capacity)| (capacity - demand).max(0.0))
             .sum();
-        let mut shares = vec![(own.clone(), at_home)];
-        for (region, capacity) in capacity.iter().filter(|(region, _)| *region != own) {
-            let part = if spare > 0.0 {
+        let mut shares = vec![(local_region.clone(), local_share)];
+        for (region, capacity) in capacity
+            .iter()
+            .filter(|(region, _)| *region != local_region)
+        {
+            let spare_fraction = if spare > 0.0 {
                 (capacity - demand).max(0.0) / spare
             } else {
                 0.0
             };
-            shares.push((region.clone(), (1.0 - at_home) * part));
+            shares.push((region.clone(), (1.0 - local_share) * spare_fraction));
         }
         RegionShares { shares }
     }
 
-    /// The region of a key with this point. A small change of the shares moves
-    /// only the keys next to a border.
+    /// Returns the region of a key with this point. A small change of the shares moves only
+    /// the keys next to a border.
     pub fn region_at(&self, point: f64) -> Option<&RegionId> {
         let mut border = 0.0;
         for (region, share) in &self.shares {
@@ -63,7 +70,7 @@
             .map(|(region, _)| region)
     }
 
-    /// The shares.
+    /// Iterates over the shares.
     pub fn iter(&self) -> impl Iterator<Item = &(RegionId, f64)> {
         self.shares.iter()
     }
--- a/crates/coursestand-routing/src/split.rs
+++ b/crates/coursestand-routing/src/split.rs
@@ -1,30 +1,30 @@
-//! Divides requests among weighted services, evenly over any stretch (smooth
-//! weighted round robin).
+//! Divides requests among weighted services by smooth weighted round robin: evenly over any
+//! number of consecutive requests.
 
-/// Where a route stands in its round.
+/// Position of a route's traffic split in its round.
 #[derive(Clone, Debug, Default)]
 pub struct SplitState {
     credits: Vec<i64>,
 }
 
-/// Steps after which a split that is drawn stands at most: more than a round of weights in
-/// percent takes.
-const MOST_STEPS: u64 = 1_000;
+/// Maximum offset of a new split: more steps than a round of weights in percent has.
+const MAX_OFFSET: u64 = 1_000;
 
 impl SplitState {
-    /// Stands anywhere in a round, as `number` tells. All that begin at the same place send
-    /// their first requests to the same service: at few requests to each life of a daemon,
-    /// a service of 40 in 100 got none.
-    pub fn drawn(weights: &[u32], number: u64) -> SplitState {
+    /// Returns a state at an offset into the round that is derived from `number`, which should
+    /// be random. If all daemons began at the same offset, their first requests would go to
+    /// the same service: with few requests to each incarnation of a daemon, a service of
+    /// weight 40 in 100 got none.
+    pub fn at_offset(weights: &[u32], number: u64) -> SplitState {
         let total: u64 = weights.iter().map(|weight| u64::from(*weight)).sum();
         let mut state = SplitState::default();
-        for _ in 0..number % total.clamp(1, MOST_STEPS) {
+        for _ in 0..number % total.clamp(1, MAX_OFFSET) {
             state.next(weights);
         }
         state
     }
 
-    /// Index of the service that takes the next request.
+    /// Returns the index of the service to which the next request is sent.
     pub fn next(&mut self, weights: &[u32]) -> usize {
         if self.credits.len() != weights.len() {
             self.credits = vec![0; weights.len()];
--- a/crates/coursestand-routing/src/work_times.rs
+++ b/crates/coursestand-routing/src/work_times.rs
@@ -1,17 +1,19 @@
-//! How long back ends of a service work on a request, learned from answers.
+//! Estimates how long back ends of a service work on a request, from the times of their
+//! answers.
 
-/// Weight of a new time once many are known; before, all count alike.
-const GAIN: f64 = 1.0 / 32.0;
-/// A time counts as at most this many times the average: one slow back end must
-/// not pass for what is usual.
-const MOST_ABOVE_AVERAGE: f64 = 2.0;
-/// Part of its value by which a quantile moves with each time.
-const QUANTILE_STEP: f64 = 1.0 / 16.0;
-/// Quantiles that stand for a known and for an unknown object. Some objects were
-/// forgotten, and some were taught by other daemons: were these to blur the
-/// difference, objects would be spread over more back ends, and forgotten more.
-const KNOWN_SHARE: f64 = 0.25;
-const UNKNOWN_SHARE: f64 = 0.75;
+/// Minimum weight of a new time in the average; the first ones all count equally.
+const MIN_GAIN: f64 = 1.0 / 32.0;
+/// Times are capped at this multiple of the average, so that a single slow back end does not
+/// distort it.
+const MAX_AVERAGE_RATIO: f64 = 2.0;
+/// Minimum step of a quantile with each time, as a fraction of its value.
+const MIN_QUANTILE_STEP: f64 = 1.0 / 16.0;
+/// Quantiles that represent the times of warm objects and of first runs. Back ends may have
+/// evicted objects that count as warm, and may be warm through other daemons for others. If
+/// these blurred the difference, objects would be spread over more back ends, and evicted
+/// more often.
+const WARM_QUANTILE: f64 = 0.25;
+const FIRST_RUN_QUANTILE: f64 = 0.75;
 
 /// A moving average.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -21,26 +23,26 @@
 }
 
 impl Average {
-    /// Takes in a time in milliseconds.
-    pub fn take(&mut self, time: f64) {
+    /// Records a time in milliseconds.
+    pub fn record(&mut self, time: f64) {
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
             self.value = time;
             return;
         }
-        let time = time.min(MOST_ABOVE_AVERAGE * self.value);
-        let gain = (1.0 / f64::from(self.samples)).max(GAIN);
+        let time = time.min(MAX_AVERAGE_RATIO * self.value);
+        let gain = (1.0 / f64::from(self.samples)).max(MIN_GAIN);
         self.value += (time - self.value) * gain;
     }
 
-    /// The average, if anything is known.
+    /// Returns the average in milliseconds, or `None` before the first time.
     pub fn get(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
 }
 
-/// A moving quantile, by stochastic approximation: it rises and falls by steps whose
-/// sizes balance where `share` of the times are below it.
+/// A moving quantile by stochastic approximation: it moves up and down by steps whose sizes
+/// balance where a fraction `share` of the times is below it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantile {
     share: f64,
@@ -49,7 +51,7 @@
 }
 
 impl Quantile {
-    /// Follows the time below which `share` of all times are.
+    /// Returns an estimate of the time below which a fraction `share` of all times is.
     pub fn new(share: f64) -> Quantile {
         Quantile {
             share,
@@ -58,14 +60,14 @@
         }
     }
 
-    /// Takes in a time in milliseconds.
-    pub fn take(&mut self, time: f64) {
+    /// Records a time in milliseconds.
+    pub fn record(&mut self, time: f64) {
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
             self.value = time;
             return;
         }
-        let step = (1.0 / f64::from(self.samples)).max(QUANTILE_STEP) * self.value;
+        let step = (1.0 / f64::from(self.samples)).max(MIN_QUANTILE_STEP) * self.value;
         if time > self.value {
             self.value += step * self.share;
         } else {
@@ -73,65 +75,65 @@
         }
     }
 
-    /// The quantile, if anything is known.
+    /// Returns the quantile in milliseconds, or `None` before the first time.
     pub fn get(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
 }
 
-/// Times from sending a request to its answer, without a queue, in milliseconds.
+/// Times from sending a request to its answer without a queue, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// At a back end that knows the object.
-    pub known_ms: f64,
-    /// What it takes longer at one that does not.
+    /// Average time at a back end that is warm for the object.
+    pub warm_ms: f64,
+    /// Additional time of a first run, at a back end that is not warm for the object.
     pub first_run_ms: f64,
-    /// On average: what a request that waits is followed by.
+    /// Average over all requests, which determines how fast a queue drains.
     pub mean_ms: f64,
 }
 
-/// Learns the work of one service in one place.
+/// Estimates the work times of one service in one zone.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkTimes {
-    known: Average,
+    warm: Average,
     all: Average,
-    quick: Quantile,
-    first: Quantile,
+    warm_quantile: Quantile,
+    first_run_quantile: Quantile,
 }
 
 impl Default for WorkTimes {
     fn default() -> WorkTimes {
         WorkTimes {
-            known: Average::default(),
+            warm: Average::default(),
             all: Average::default(),
-            quick: Quantile::new(KNOWN_SHARE),
-            first: Quantile::new(UNKNOWN_SHARE),
+            warm_quantile: Quantile::new(WARM_QUANTILE),
+            first_run_quantile: Quantile::new(FIRST_RUN_QUANTILE),
         }
     }
 }
 
 impl WorkTimes {
-    /// A request that found a free slot was answered after `took_ms`; `knows`
-    /// tells whether the back end was seen to know its object.
-    pub fn learn(&mut self, knows: bool, took_ms: f64) {
-        self.all.take(took_ms);
-        if knows {
-            self.known.take(took_ms);
-            self.quick.take(took_ms);
+    /// Records that a request that found a free slot was answered after `took_ms`. `is_warm`
+    /// is whether the back end was observed to be warm for its object.
+    pub fn record(&mut self, is_warm: bool, took_ms: f64) {
+        self.all.record(took_ms);
+        if is_warm {
+            self.warm.record(took_ms);
+            self.warm_quantile.record(took_ms);
         } else {
-            self.first.take(took_ms);
+            self.first_run_quantile.record(took_ms);
         }
     }
 
-    /// What is known; nothing until requests for a known object were answered.
+    /// Returns the estimates, or `None` before any request for a warm object was answered.
     pub fn work(&self) -> Option<Work> {
-        let known_ms = self.known.get()?;
-        let quick_ms = self.quick.get()?;
-        let first_ms = self.first.get().unwrap_or(quick_ms);
+        let warm_ms = self.warm.get()?;
+        let warm_quantile_ms = self.warm_quantile.get()?;
+        let first_quantile_ms = self.first_run_quantile.get().unwrap_or(warm_quantile_ms);
         Some(Work {
-            known_ms,
-            first_run_ms: (first_ms - quick_ms).max(0.0),
-            mean_ms: self.all.get().unwrap_or(known_ms),
+            warm_ms,
+            first_run_ms: (first_quantile_ms - warm_quantile_ms).max(0.0),
+            mean_ms: self.all.get().unwrap_or(warm_ms),
         })
     }
 }
--- a/crates/coursestand-routing/tests/backoff.rs
+++ b/crates/coursestand-routing/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! Back-offs and draining as back ends tell them with answers: whom they bind, for how
-//! long, and how a back end comes back.
+//! Back-offs and draining that back ends report with answers: which incarnation they apply to,
+//! for how long, and the slow start afterwards.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, HashMap};
@@ -8,10 +8,10 @@
 use coursestand_catalog::Catalog;
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
-use coursestand_routing::backoff::LONGEST_BACKOFF_MS;
+use coursestand_routing::backends::ReportDecay;
+use coursestand_routing::backoff::MAX_BACKOFF_MS;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use coursestand_routing::{
     Backend, BackendReport, Backends, LimitAccess, LoadReport, PickRequest, Picker, RateWord,
     Refusal,
@@ -29,7 +29,7 @@
     BackendId(format!("i-{number}"))
 }
 
-fn news(number: usize, born: Millis, sequence: u64, phase: InstancePhase) -> InstanceNews {
+fn update(number: usize, born: Millis, sequence: u64, phase: InstancePhase) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: id(number),
@@ -49,17 +49,17 @@
 fn fleet(count: usize) -> Backends {
     let mut backends = Backends::default();
     for number in 0..count {
-        backends.merge(0, news(number, 1, 1, InstancePhase::Ready));
+        backends.merge(0, update(number, 1, 1, InstancePhase::Ready));
     }
     backends
 }
 
-fn known(backends: &Backends, number: usize) -> &Backend {
+fn lookup(backends: &Backends, number: usize) -> &Backend {
     backends.get(&id(number)).expect("known")
 }
 
 fn picker() -> Picker {
-    Picker::new(Place {
+    Picker::new(PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from("r"),
         zones: BTreeMap::from([(ZoneId::from("z"), RegionId::from("r"))]),
@@ -69,7 +69,7 @@
         },
         balance: Balance {
             hard_load: 1.6,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 250,
                 half_life_ms: 400,
             },
@@ -94,12 +94,12 @@
     picked.map(|pick| pick.id)
 }
 
-/// A refusal that tells nothing under way and asks for a back-off.
+/// Records a refusal that reports an idle back end and requests a back-off.
 fn refuse(backends: &mut Backends, now: Millis, number: usize, backoff_ms: Millis) {
     let report = BackendReport {
         load: Some(IDLE),
         backoff_ms: Some(backoff_ms),
-        drains: false,
+        is_draining: false,
         rate: RateWord::Untold,
     };
     backends.note_backoff(now, &id(number), backoff_ms);
@@ -107,59 +107,62 @@
 }
 
 #[gtest]
-fn a_later_answer_takes_nothing_of_a_backoff_back() {
+fn a_later_answer_does_not_shorten_a_backoff() {
     let mut backends = fleet(1);
     refuse(&mut backends, 0, 0, 3_000);
     refuse(&mut backends, 100, 0, 500);
     backends.note_answer(200, &id(0), Some(IDLE));
-    expect_that!(known(&backends, 0).backs_off(2_999), eq(true));
-    expect_that!(known(&backends, 0).backs_off(3_000), eq(false));
+    expect_that!(lookup(&backends, 0).is_backing_off(2_999), eq(true));
+    expect_that!(lookup(&backends, 0).is_backing_off(3_000), eq(false));
     refuse(&mut backends, 2_000, 0, 3_000);
-    expect_that!(known(&backends, 0).backs_off(4_999), eq(true));
+    expect_that!(lookup(&backends, 0).is_backing_off(4_999), eq(true));
 }
 
 #[gtest]
-fn a_backoff_without_end_ends() {
+fn the_duration_of_a_backoff_is_limited() {
     let mut backends = fleet(1);
     refuse(&mut backends, 0, 0, Millis::MAX);
-    let last = LONGEST_BACKOFF_MS - 1;
-    expect_that!(known(&backends, 0).backs_off(last), eq(true));
-    expect_that!(known(&backends, 0).backs_off(last + 1), eq(false));
+    let last = MAX_BACKOFF_MS - 1;
+    expect_that!(lookup(&backends, 0).is_backing_off(last), eq(true));
+    expect_that!(lookup(&backends, 0).is_backing_off(last + 1), eq(false));
     refuse(&mut backends, Millis::MAX - 1, 0, Millis::MAX);
-    expect_that!(known(&backends, 0).backs_off(Millis::MAX - 1), eq(true));
+    expect_that!(
+        lookup(&backends, 0).is_backing_off(Millis::MAX - 1),
+        eq(true)
+    );
 }
 
 #[gtest]
-fn it_binds_the_incarnation_that_asked_and_no_later_one() {
+fn a_backoff_applies_only_to_the_incarnation_that_requested_it() {
     let mut backends = fleet(1);
     refuse(&mut backends, 0, 0, 3_000);
     backends.note_draining(0, &id(0));
-    // News of the same incarnation take nothing back.
-    backends.merge(100, news(0, 1, 9, InstancePhase::Ready));
-    expect_that!(known(&backends, 0).backs_off(100), eq(true));
-    expect_that!(known(&backends, 0).is_ready(), eq(false));
-    backends.merge(200, news(0, 2, 1, InstancePhase::Ready));
-    expect_that!(known(&backends, 0).backs_off(200), eq(false));
-    expect_that!(known(&backends, 0).is_ready(), eq(true));
-    // And what the earlier one says late, through control, changes nothing.
-    backends.merge(300, news(0, 1, 10, InstancePhase::Draining));
-    expect_that!(known(&backends, 0).is_ready(), eq(true));
+    // Updates of the same incarnation don't end its back-off or its draining.
+    backends.merge(100, update(0, 1, 9, InstancePhase::Ready));
+    expect_that!(lookup(&backends, 0).is_backing_off(100), eq(true));
+    expect_that!(lookup(&backends, 0).is_ready(), eq(false));
+    backends.merge(200, update(0, 2, 1, InstancePhase::Ready));
+    expect_that!(lookup(&backends, 0).is_backing_off(200), eq(false));
+    expect_that!(lookup(&backends, 0).is_ready(), eq(true));
+    // A late update of the previous incarnation has no effect.
+    backends.merge(300, update(0, 1, 10, InstancePhase::Draining));
+    expect_that!(lookup(&backends, 0).is_ready(), eq(true));
 }
 
 #[gtest]
-fn it_is_no_failure() {
+fn backoffs_do_not_eject_a_back_end() {
     let mut backends = fleet(1);
     for round in 0..10 {
         refuse(&mut backends, round * 100, 0, 100);
     }
-    let backend = known(&backends, 0);
+    let backend = lookup(&backends, 0);
     expect_that!(backend.is_ejected(1_000), eq(false));
-    expect_that!(backend.backs_off(1_000), eq(false));
-    expect_that!(backend.has_room(1_000), eq(true));
+    expect_that!(backend.is_backing_off(1_000), eq(false));
+    expect_that!(backend.has_capacity(1_000), eq(true));
 }
 
 #[gtest]
-fn the_refusal_of_a_whole_service_names_the_earliest_end() {
+fn a_refusal_reports_the_earliest_end_of_all_backoffs() {
     let mut backends = fleet(3);
     for (number, backoff_ms) in [4_000, 1_500, 9_000].into_iter().enumerate() {
         refuse(&mut backends, 1_000, number, backoff_ms);
@@ -171,58 +174,58 @@
 }
 
 #[gtest]
-fn after_its_end_requests_come_one_at_a_time_and_twice_as_many_after_each_answer() {
+fn after_a_backoff_the_concurrency_limit_doubles_with_each_answer() {
     let mut backends = fleet(1);
     refuse(&mut backends, 0, 0, 1_000);
-    let mut taken = Vec::new();
+    let mut admitted = Vec::new();
     for now in 1_000..1_005 {
         let mut count = 0;
-        while known(&backends, 0).has_room(now) && count < 3 * SLOTS {
+        while lookup(&backends, 0).has_capacity(now) && count < 3 * SLOTS {
             backends.start(&id(0));
             count += 1;
         }
-        taken.push(count);
+        admitted.push(count);
         backends.note_answer(now, &id(0), Some(IDLE));
         for _ in 0..count {
             backends.finish(&id(0));
         }
     }
     expect_that!(
-        taken,
+        admitted,
         elements_are![eq(&1), eq(&2), eq(&4), eq(&12), eq(&12)]
     );
 }
 
 #[gtest]
-fn a_refusal_on_the_way_back_begins_it_anew() {
+fn a_refusal_during_the_slow_start_restarts_it() {
     let mut backends = fleet(1);
     refuse(&mut backends, 0, 0, 1_000);
     backends.note_answer(1_000, &id(0), Some(IDLE));
     backends.start(&id(0));
-    expect_that!(known(&backends, 0).has_room(1_001), eq(true));
+    expect_that!(lookup(&backends, 0).has_capacity(1_001), eq(true));
     let report = BackendReport {
         load: Some(IDLE),
         ..BackendReport::default()
     };
     backends.note_shed(1_002, &id(0), &report);
-    expect_that!(known(&backends, 0).has_room(1_002), eq(false));
+    expect_that!(lookup(&backends, 0).has_capacity(1_002), eq(false));
 }
 
-/// What may come to a daemon, in any order.
+/// Events at a daemon, in any order.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A back end refuses and asks for so long.
+    /// A back end refuses a request and requests a back-off of this duration.
     Refuse(usize, Millis),
-    /// A back end answers a request that was sent before.
+    /// A back end answers an earlier request.
     Answer(usize),
-    /// Discovery tells of it, with this sequence.
-    Hear(usize, u64),
-    /// It starts again.
-    StartAgain(usize),
-    /// It says with an answer that it drains.
+    /// Discovery announces it with this sequence number.
+    Announce(usize, u64),
+    /// It restarts.
+    Restart(usize),
+    /// It reports with an answer that it is draining.
     Drain(usize),
-    /// Time passes, and this key is asked for.
-    Ask(Millis, u64),
+    /// A request with this key arrives after this time.
+    Request(Millis, u64),
 }
 
 const BACKENDS: usize = 4;
@@ -230,62 +233,65 @@
 fn event() -> impl Strategy<Value = Event> {
     let backend = 0..BACKENDS;
     prop_oneof![
-        (backend.clone(), 0..4_000_u64).prop_map(|(one, asked)| Event::Refuse(one, asked)),
+        (backend.clone(), 0..4_000_u64)
+            .prop_map(|(number, backoff_ms)| Event::Refuse(number, backoff_ms)),
         backend.clone().prop_map(Event::Answer),
-        (backend.clone(), 1..50_u64).prop_map(|(one, sequence)| Event::Hear(one, sequence)),
-        backend.clone().prop_map(Event::StartAgain),
+        (backend.clone(), 1..50_u64)
+            .prop_map(|(number, sequence)| Event::Announce(number, sequence)),
+        backend.clone().prop_map(Event::Restart),
         backend.prop_map(Event::Drain),
-        (0..900_u64, any::<u64>()).prop_map(|(passes, key)| Event::Ask(passes, key)),
+        (0..900_u64, any::<u64>()).prop_map(|(elapsed_ms, key)| Event::Request(elapsed_ms, key)),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(33), ..ProptestConfig::with_cases(2_000) })]
 
-    /// No pick goes to a back end whose incarnation asked for more time or drains,
-    /// whatever came in which order; and where one is free, a request is not refused.
+    /// Whatever the order of events, no request is sent to a back end whose incarnation is
+    /// backing off or draining, and no request is refused because of back-offs while one
+    /// is available.
     #[gtest]
-    fn no_pick_goes_to_a_back_end_that_backs_off_or_drains(
+    fn no_request_is_sent_to_a_back_end_that_is_backing_off_or_draining(
         events in proptest::collection::vec(event(), 1..60)
     ) {
         let mut backends = fleet(BACKENDS);
         let mut ends: HashMap<usize, Millis> = HashMap::new();
-        let mut drains = [false; BACKENDS];
+        let mut is_draining = [false; BACKENDS];
         let mut born = [1; BACKENDS];
         let mut now = 0;
         for event in events {
             match event {
-                Event::Refuse(one, asked) => {
-                    refuse(&mut backends, now, one, asked);
-                    let end = ends.entry(one).or_default();
-                    *end = (*end).max(now + asked);
+                Event::Refuse(number, backoff_ms) => {
+                    refuse(&mut backends, now, number, backoff_ms);
+                    let end = ends.entry(number).or_default();
+                    *end = (*end).max(now + backoff_ms);
                 }
-                Event::Answer(one) => backends.note_answer(now, &id(one), Some(IDLE)),
-                Event::Hear(one, sequence) => {
-                    backends.merge(now, news(one, born[one], sequence, InstancePhase::Ready));
+                Event::Answer(number) => backends.note_answer(now, &id(number), Some(IDLE)),
+                Event::Announce(number, sequence) => {
+                    backends.merge(now, update(number, born[number], sequence, InstancePhase::Ready));
                 }
-                Event::StartAgain(one) => {
-                    born[one] += 1;
-                    backends.merge(now, news(one, born[one], 1, InstancePhase::Ready));
-                    ends.remove(&one);
-                    drains[one] = false;
+                Event::Restart(number) => {
+                    born[number] += 1;
+                    backends.merge(now, update(number, born[number], 1, InstancePhase::Ready));
+                    ends.remove(&number);
+                    is_draining[number] = false;
                 }
-                Event::Drain(one) => {
-                    backends.note_draining(now, &id(one));
-                    drains[one] = true;
+                Event::Drain(number) => {
+                    backends.note_draining(now, &id(number));
+                    is_draining[number] = true;
                 }
-                Event::Ask(passes, key) => {
-                    now += passes;
-                    let is_free = |one: &usize| {
-                        !drains[*one] && ends.get(one).is_none_or(|end| *end <= now)
+                Event::Request(elapsed_ms, key) => {
+                    now += elapsed_ms;
+                    let is_available = |number: &usize| {
+                        !is_draining[*number] && ends.get(number).is_none_or(|end| *end <= now)
                     };
                     match pick(&backends, key, now) {
                         Ok(picked) => {
-                            let picked = (0..BACKENDS).find(|one| id(*one) == picked);
-                            prop_assert!(picked.is_some_and(|one| is_free(&one)));
+                            let picked = (0..BACKENDS).find(|number| id(*number) == picked);
+                            prop_assert!(picked.is_some_and(|number| is_available(&number)));
                         }
                         Err(Refusal::Busy { .. }) => {}
-                        Err(_) => prop_assert!(!(0..BACKENDS).any(|one| is_free(&one))),
+                        Err(_) => prop_assert!(!(0..BACKENDS).any(|number| is_available(&number))),
                     }
                 }
             }
--- a/crates/coursestand-routing/tests/fatal_lives/world.rs
+++ b/crates/coursestand-routing/tests/fatal_lives/world.rs
@@ -380,12 +380,18 @@
             let may_repeat = (one.is_informed || self.sharing == Sharing::Findings)
                 && run.sent.kind != SendKind::Repeat
                 && one.fatal.may_repeat(self.now, DEADLY, &[backend]).is_ok();
-            let witnesses = vec![DEADLY, innocent];
+            let in_flight_requests = vec![DEADLY, innocent];
             if self.is_connected(run.daemon) {
                 self.outcome.reported.push(self.now);
             }
             self.now += LOOK_MS;
-            self.report(run.daemon, Finding::Ended { backend, witnesses });
+            self.report(
+                run.daemon,
+                Finding::Ended {
+                    backend,
+                    in_flight_requests,
+                },
+            );
             self.now -= LOOK_MS;
             if may_repeat {
                 self.run(run.daemon, DEADLY, SendKind::Repeat);
--- a/crates/coursestand-routing/tests/fatal_requests/main.rs
+++ b/crates/coursestand-routing/tests/fatal_requests/main.rs
@@ -120,13 +120,17 @@
     expect_that!(outcome.innocent, not(is_empty()));
 }
 
-fn ended(number: u64, reporter: u64, backend: u64, witnesses: &[u64]) -> SharedFinding {
+fn ended(number: u64, reporter: u64, backend: u64, in_flight_requests: &[u64]) -> SharedFinding {
     SharedFinding {
         number,
         reporter,
         finding: Finding::Ended {
             backend,
-            witnesses: witnesses.iter().copied().map(Fingerprint).collect(),
+            in_flight_requests: in_flight_requests
+                .iter()
+                .copied()
+                .map(Fingerprint)
+                .collect(),
         },
     }
 }
--- a/crates/coursestand-routing/tests/fatal_requests/world.rs
+++ b/crates/coursestand-routing/tests/fatal_requests/world.rs
@@ -146,11 +146,14 @@
         false
     }
     fn take(&mut self, _: Millis, report: &SharedFinding) -> Vec<Fingerprint> {
-        let Finding::Ended { witnesses, .. } = &report.finding else {
+        let Finding::Ended {
+            in_flight_requests, ..
+        } = &report.finding
+        else {
             return Vec::new();
         };
         let mut convicted = Vec::new();
-        for request in witnesses.iter().collect::<BTreeSet<_>>() {
+        for request in in_flight_requests.iter().collect::<BTreeSet<_>>() {
             let ends = self.0.entry(*request).or_default();
             *ends += 1;
             convicted.extend((*ends == 3).then_some(*request));
@@ -319,9 +322,16 @@
             by_daemon.entry(run.daemon).or_default().push(run.request);
             self.daemons[run.daemon].finish(run.request);
         }
-        for (daemon, witnesses) in by_daemon {
+        for (daemon, in_flight_requests) in by_daemon {
             let backend = incarnation;
-            self.report(now + LOOK_MS, daemon, Finding::Ended { backend, witnesses });
+            self.report(
+                now + LOOK_MS,
+                daemon,
+                Finding::Ended {
+                    backend,
+                    in_flight_requests,
+                },
+            );
         }
         for run in runs.iter().filter(|run| !run.is_repeat) {
             if self.daemons[run.daemon].may_repeat(now, run.request, incarnation) {
--- a/crates/coursestand-routing/tests/incarnations.rs
+++ b/crates/coursestand-routing/tests/incarnations.rs
@@ -1,21 +1,21 @@
-//! A back end that starts again under its identity is another one to an entry daemon:
-//! what was learned of its life before, and what is under way there, counts no more.
+//! A back end that restarts under its identity counts as a new one in an entry daemon: the
+//! state learned of the previous incarnation, and its requests in flight, no longer count.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
 
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::{Backend, Backends, LoadReport};
 use googletest::prelude::*;
 
-const TRUST: ReportTrust = ReportTrust {
+const REPORT_DECAY: ReportDecay = ReportDecay {
     hold_ms: 1_000,
     half_life_ms: 1_000,
 };
 
-fn news(born: Millis, cold_ms: Millis) -> InstanceNews {
+fn update(born: Millis, cold_ms: Millis) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: BackendId::from("i"),
@@ -32,15 +32,15 @@
     }
 }
 
-fn known(backends: &Backends) -> &Backend {
+fn lookup(backends: &Backends) -> &Backend {
     backends.get(&BackendId::from("i")).expect("known")
 }
 
 #[gtest]
-fn an_incarnation_bears_no_failures_and_no_load_of_the_one_before() {
+fn a_new_incarnation_inherits_no_failures_and_no_load() {
     let id = BackendId::from("i");
     let mut backends = Backends::default();
-    backends.merge(0, news(1, 0));
+    backends.merge(0, update(1, 0));
     let report = LoadReport {
         running: 6,
         waiting: 9,
@@ -48,22 +48,22 @@
     backends.note_answer(10, &id, Some(report));
     backends.start(&id);
     backends.note_unreachable(20, &id);
-    expect_that!(known(&backends).is_ejected(30), eq(true));
-    backends.merge(30, news(2, 5_000));
-    expect_that!(known(&backends).is_ejected(30), eq(false));
-    expect_that!(known(&backends).load(30, TRUST), near(0.0, 1e-9));
-    expect_that!(known(&backends).is_cold(30), eq(true));
+    expect_that!(lookup(&backends).is_ejected(30), eq(true));
+    backends.merge(30, update(2, 5_000));
+    expect_that!(lookup(&backends).is_ejected(30), eq(false));
+    expect_that!(lookup(&backends).load(30, REPORT_DECAY), near(0.0, 1e-9));
+    expect_that!(lookup(&backends).is_cold(30), eq(true));
     expect_that!(backends.of_service(&ServiceId::from("s")).count(), eq(1));
 }
 
 #[gtest]
-fn an_incarnation_knows_none_of_the_objects_of_the_one_before() {
+fn a_new_incarnation_is_warm_for_no_object_of_the_previous_one() {
     let mut backends = Backends::default();
-    backends.merge(0, news(1, 0));
-    let before = known(&backends).memory;
-    backends.merge(10, news(2, 0));
-    expect_that!(known(&backends).memory, not(eq(before)));
-    // Its place in the order for an object stays, as in every daemon.
+    backends.merge(0, update(1, 0));
+    let previous = lookup(&backends).incarnation_hash;
+    backends.merge(10, update(2, 0));
+    expect_that!(lookup(&backends).incarnation_hash, not(eq(previous)));
+    // Its rank for each object does not change, in any daemon.
     let hash = coursestand_routing::hash::hash_of("i");
-    expect_that!(known(&backends).hash, eq(hash));
+    expect_that!(lookup(&backends).hash, eq(hash));
 }
--- a/crates/coursestand-routing/tests/joining.rs
+++ b/crates/coursestand-routing/tests/joining.rs
@@ -1,5 +1,5 @@
-//! A back end that joins, over all daemons: nothing beyond what it bears while it is
-//! cold, and its share of the requests within two seconds after that.
+//! Requests of all daemons to a joining back end: they stay within its limit while it is cold,
+//! and reach its share of the load within two seconds after that.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,14 +9,14 @@
 use coursestand_catalog::{Catalog, Item, ItemKey, Patch, ServiceItem};
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
-use coursestand_routing::picker::{Asked, Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig, SentRequest};
 use coursestand_routing::{Backends, LimitAccess, LoadReport, PickRequest, Picker};
 use googletest::prelude::*;
 
 const DAEMONS: usize = 6;
-const OLD: usize = 4;
+const EXISTING_BACKENDS: usize = 4;
 const SLOTS: u32 = 4;
 const COLD_MS: Millis = 3_000;
 const PER_SECOND: f64 = 9.0;
@@ -27,14 +27,14 @@
 const JOINED_AT: Millis = 10_000;
 const END: Millis = 20_000;
 const OBJECTS: u64 = 400;
-/// What a request takes at a back end, without a queue.
+/// Work time of a request at a back end without a queue.
 const WORK_MS: Millis = 40;
 
 fn id(number: usize) -> BackendId {
     BackendId(format!("i-{number}"))
 }
 
-fn news(number: usize, cold_ms: Millis) -> InstanceNews {
+fn update(number: usize, cold_ms: Millis) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: id(number),
@@ -76,52 +76,54 @@
     backends: Backends,
     picker: Picker,
     owners: OwnerViews,
-    /// Requests under way, by when they end.
-    working: Vec<(Millis, Millis, Asked)>,
+    /// Requests in flight, each with the times of its end and its start.
+    in_flight: Vec<(Millis, Millis, SentRequest)>,
 }
 
 impl Daemon {
     fn new(number: usize) -> Daemon {
-        let names: BTreeSet<String> = (0..DAEMONS).map(|one| format!("edge-{one}")).collect();
+        let names: BTreeSet<String> = (0..DAEMONS)
+            .map(|daemon| format!("edge-{daemon}"))
+            .collect();
         let mut owners = OwnerViews::new(0);
         owners.set(0, Some(names));
-        let picker = Picker::new(Place {
+        let picker = Picker::new(PickerConfig {
             daemon: format!("edge-{number}"),
             region: RegionId::from("r"),
             zones: BTreeMap::from([(ZoneId::from("z"), RegionId::from("r"))]),
             cold: LIMITS,
             balance: Balance {
                 hard_load: 1.6,
-                trust: ReportTrust {
+                report_decay: ReportDecay {
                     hold_ms: 250,
                     half_life_ms: 400,
                 },
             },
         });
         let mut backends = Backends::default();
-        (0..OLD).for_each(|number| {
-            backends.merge(0, news(number, 0));
+        (0..EXISTING_BACKENDS).for_each(|number| {
+            backends.merge(0, update(number, 0));
         });
         Daemon {
             backends,
             picker,
             owners,
-            working: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
     fn join(&mut self, now: Millis) {
-        self.backends.merge(now, news(OLD, COLD_MS));
+        self.backends.merge(now, update(EXISTING_BACKENDS, COLD_MS));
         self.picker.invalidate(now);
     }
 
     fn end_requests(&mut self, now: Millis, loads: &[u32]) {
-        let working = std::mem::take(&mut self.working);
-        let (ended, working): (Vec<_>, Vec<_>) =
-            working.into_iter().partition(|(end, _, _)| *end <= now);
-        self.working = working;
-        for (end, began, asked) in ended {
-            let id = &asked.pick.id;
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (ended, in_flight): (Vec<_>, Vec<_>) =
+            in_flight.into_iter().partition(|(end, _, _)| *end <= now);
+        self.in_flight = in_flight;
+        for (end, start, sent) in ended {
+            let id = &sent.pick.id;
             let number: usize = id.as_str()[2..].parse().expect("a number");
             let report = LoadReport {
                 running: loads[number].min(SLOTS),
@@ -129,14 +131,20 @@
             };
             self.backends.note_answer(now, id, Some(report));
             if let Some(backend) = self.backends.get(id) {
-                let took = (end - began) as f64;
-                self.picker.note_answer(now, backend, &asked, took);
+                let took_ms = (end - start) as f64;
+                self.picker.note_answer(now, backend, &sent, took_ms);
             }
             self.backends.finish(id);
         }
     }
 
-    fn ask(&mut self, now: Millis, catalog: &Catalog, object: u64, loads: &[u32]) -> Option<usize> {
+    fn send(
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        object: u64,
+        loads: &[u32],
+    ) -> Option<usize> {
         let service = ServiceId::from("s");
         let request = PickRequest {
             service: &service,
@@ -156,19 +164,20 @@
         let backend = self.backends.get(&pick.id)?;
         self.picker.note_sent(now, backend);
         self.backends.start(&pick.id);
-        let queue = Millis::from(loads[number] / SLOTS) * WORK_MS;
-        let asked = Asked {
+        let queue_ms = Millis::from(loads[number] / SLOTS) * WORK_MS;
+        let sent = SentRequest {
             object: Some(request.key),
             pick,
         };
-        self.working.push((now + WORK_MS + queue, now, asked));
+        self.in_flight.push((now + WORK_MS + queue_ms, now, sent));
         Some(number)
     }
 }
 
-/// When each request went to the back end that joined, and how many were sent in all
-/// after it had ceased to be cold for two seconds, with so many requests every 10 ms.
-fn play(requests: u64) -> (Vec<Millis>, usize) {
+/// Runs a simulation with `requests` requests every 10 ms. Returns the times at which requests
+/// were sent to the joining back end, and the number of requests sent to all back ends from
+/// two seconds after the end of its cold time.
+fn simulate(requests: u64) -> (Vec<Millis>, usize) {
     let catalog = catalog();
     let mut daemons: Vec<Daemon> = (0..DAEMONS).map(Daemon::new).collect();
     let mut joined = Vec::new();
@@ -178,9 +187,9 @@
         if now == JOINED_AT {
             daemons.iter_mut().for_each(|daemon| daemon.join(now));
         }
-        let mut loads = [0_u32; OLD + 1];
-        for (_, _, asked) in daemons.iter().flat_map(|daemon| &daemon.working) {
-            let number: usize = asked.pick.id.as_str()[2..].parse().expect("a number");
+        let mut loads = [0_u32; EXISTING_BACKENDS + 1];
+        for (_, _, sent) in daemons.iter().flat_map(|daemon| &daemon.in_flight) {
+            let number: usize = sent.pick.id.as_str()[2..].parse().expect("a number");
             loads[number] += 1;
         }
         for daemon in &mut daemons {
@@ -189,38 +198,38 @@
         for _ in 0..requests {
             number += 1;
             let daemon = &mut daemons[number as usize % DAEMONS];
-            // A step that is prime to the objects visits all of them.
+            // Coprime to the number of objects, so that all of them are visited.
             let object = number * 7_919 % OBJECTS;
-            let went = daemon.ask(now, &catalog, object, &loads);
-            if went == Some(OLD) {
+            let chosen = daemon.send(now, &catalog, object, &loads);
+            if chosen == Some(EXISTING_BACKENDS) {
                 joined.push(now);
             }
             let is_late = now >= JOINED_AT + COLD_MS + 2_000;
-            late += usize::from(is_late && went.is_some());
+            late += usize::from(is_late && chosen.is_some());
         }
     }
     (joined, late)
 }
 
 #[gtest]
-fn a_back_end_that_joins_has_its_share_two_seconds_after_it_is_warm() {
-    // Half of what all of them bear, and nearly all of it.
+fn a_joining_back_end_gets_its_share_two_seconds_after_its_cold_time() {
+    // At half of the total capacity, and close to it.
     for requests in [2, 3] {
-        let (joined, late) = play(requests);
-        let warm = JOINED_AT + COLD_MS + 2_000;
-        let own = joined.iter().filter(|at| **at >= warm).count();
-        let share = own as f64 / late as f64;
-        let fair = 1.0 / (OLD + 1) as f64;
+        let (joined, late) = simulate(requests);
+        let measured_from = JOINED_AT + COLD_MS + 2_000;
+        let sent_to_joined = joined.iter().filter(|at| **at >= measured_from).count();
+        let share = sent_to_joined as f64 / late as f64;
+        let fair = 1.0 / (EXISTING_BACKENDS + 1) as f64;
         expect_that!(share, ge(0.6 * fair), "{requests}");
         expect_that!(share, le(1.6 * fair), "{requests}");
     }
 }
 
 #[gtest]
-fn while_it_is_cold_all_daemons_together_keep_to_what_it_bears() {
-    // Up to twice of what the others bear.
+fn a_cold_back_end_gets_no_more_than_its_limit_from_all_daemons() {
+    // Up to twice the capacity of the others.
     for requests in [2, 4, 8] {
-        let (joined, _) = play(requests);
+        let (joined, _) = simulate(requests);
         let bound = (PER_SECOND * LIMITS.overage + LIMITS.slack) as usize;
         let cold: Vec<Millis> = joined
             .into_iter()
@@ -232,7 +241,7 @@
             expect_that!(count, le(bound), "{requests} from {start}");
         }
         if requests == 8 {
-            expect_that!(cold.len(), ge(10), "the others have no room left");
+            expect_that!(cold.len(), ge(10), "the others are at capacity");
         }
     }
 }
--- a/crates/coursestand-routing/tests/link_wait.rs
+++ b/crates/coursestand-routing/tests/link_wait.rs
@@ -1,4 +1,4 @@
-//! What round trips tell of how long requests wait before they are read.
+//! Estimation of the wait of requests from round trips to peers.
 #![allow(missing_docs)]
 
 use coursestand_model::Millis;
@@ -8,7 +8,7 @@
 const NEAR_MS: f64 = 3.0;
 const FAR_MS: f64 = 40.0;
 
-/// Two peers whose round trips are known from a time without a queue.
+/// Two peers whose minimum round trips were measured without a queue.
 fn two_peers() -> LinkWait {
     let mut wait = LinkWait::default();
     wait.note_round_trip(0, 1, NEAR_MS);
@@ -17,12 +17,12 @@
 }
 
 #[gtest]
-fn round_trips_that_are_as_short_as_ever_tell_of_no_wait() {
+fn minimum_round_trips_show_no_wait() {
     expect_that!(two_peers().wait_ms(100), eq(0));
 }
 
 #[gtest]
-fn what_all_round_trips_take_longer_is_the_wait() {
+fn the_wait_is_the_minimum_excess_of_all_peers() {
     let mut wait = two_peers();
     wait.note_round_trip(1_000, 1, NEAR_MS + 600.0);
     wait.note_round_trip(1_200, 2, FAR_MS + 700.0);
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn a_peer_that_is_slow_alone_tells_of_no_wait() {
+fn a_single_slow_peer_shows_no_wait() {
     let mut wait = two_peers();
     for round in 0..10 {
         wait.note_round_trip(1_000 + round * 400, 1, NEAR_MS + 900.0);
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn two_peers_that_were_cut_off_together_tell_of_no_wait() {
+fn two_peers_that_were_disconnected_together_show_no_wait() {
     let mut wait = two_peers();
     wait.note_round_trip(200, 3, FAR_MS);
     wait.note_round_trip(2_000, 1, NEAR_MS);
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn without_recent_round_trips_nothing_is_known() {
+fn without_recent_round_trips_the_wait_is_zero() {
     let mut wait = two_peers();
     wait.note_round_trip(1_000, 1, NEAR_MS + 600.0);
     wait.note_round_trip(1_200, 2, FAR_MS + 700.0);
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn a_queue_that_has_ended_is_forgotten_with_the_first_round_trip() {
+fn the_wait_ends_with_the_first_undelayed_round_trip() {
     let mut wait = two_peers();
     wait.note_round_trip(1_000, 1, NEAR_MS + 600.0);
     wait.note_round_trip(1_200, 2, FAR_MS + 700.0);
@@ -78,15 +78,16 @@
     expect_that!(wait.wait_ms(1_250), eq(0));
 }
 
-/// A way that became longer is learned within a minute, and is no queue for ever.
+/// A permanently longer network path becomes the new minimum within a minute and does not
+/// count as a queue for ever.
 #[gtest]
-fn ways_that_become_longer_are_learned() {
+fn a_longer_network_path_becomes_the_new_minimum() {
     let mut wait = two_peers();
-    let longer = 200.0;
+    let added_ms = 200.0;
     let mut now: Millis = 1_000;
     while now < 62_000 {
-        wait.note_round_trip(now, 1, NEAR_MS + longer);
-        wait.note_round_trip(now + 200, 2, FAR_MS + longer);
+        wait.note_round_trip(now, 1, NEAR_MS + added_ms);
+        wait.note_round_trip(now + 200, 2, FAR_MS + added_ms);
         now += 400;
     }
     expect_that!(wait.wait_ms(now - 200), eq(0));
--- a/crates/coursestand-routing/tests/rate_limits/picks.rs
+++ b/crates/coursestand-routing/tests/rate_limits/picks.rs
@@ -7,9 +7,9 @@
 use coursestand_catalog::Catalog;
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use coursestand_routing::rate_limit::{AccessBy, Reading};
 use coursestand_routing::{
     Backends, LimitAccess, PickRequest, Picker, Rate, RateWord, Refusal, SendToken,
@@ -73,9 +73,9 @@
     backends.note_rate(NOW, &id(number), reading);
 }
 
-fn place() -> Place {
+fn place() -> PickerConfig {
     let zones = ["near", "far"].map(|name| (ZoneId::from(name), RegionId::from(name)));
-    Place {
+    PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from("near"),
         zones: BTreeMap::from(zones),
@@ -85,7 +85,7 @@
         },
         balance: Balance {
             hard_load: 1.6,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 250,
                 half_life_ms: 400,
             },
@@ -146,7 +146,7 @@
 fn a_token_admits_to_its_back_end_alone_and_for_its_time() {
     let mut backends = fleet(2, 0);
     (0..2).for_each(|number| limit(&mut backends, number));
-    let memory = backends.get(&id(1)).map(|backend| backend.memory);
+    let memory = backends.get(&id(1)).map(|backend| backend.incarnation_hash);
     let access = |valid_until| with_token(memory, valid_until);
     for key in 0..20 {
         expect_that!(pick(&backends, key, access(NOW)), ok(eq(&id(1))));
@@ -159,7 +159,7 @@
 fn of_several_bounds_each_holds() {
     let mut backends = fleet(1, 0);
     limit(&mut backends, 0);
-    let memory = backends.get(&id(0)).map(|backend| backend.memory);
+    let memory = backends.get(&id(0)).map(|backend| backend.incarnation_hash);
     let access = with_token(memory, NOW);
     expect_that!(pick(&backends, 0, access).is_ok(), eq(true));
     backends.note_backoff(NOW, &id(0), 500);
@@ -179,7 +179,9 @@
     let mut backends = fleet(3, 0);
     for (number, again_in_ms) in [(0, 400), (1, 250)] {
         limit(&mut backends, number);
-        let memory = backends.get(&id(number)).map(|backend| backend.memory);
+        let memory = backends
+            .get(&id(number))
+            .map(|backend| backend.incarnation_hash);
         backends.note_denied(NOW, memory.unwrap_or_default(), again_in_ms, 0);
     }
     backends.note_backoff(NOW, &id(2), 900);
@@ -200,7 +202,11 @@
         is_whole: true,
     };
     backends.note_rate(NOW + 2, &id(0), reading);
-    let room = |backends: &Backends| backends.get(&id(0)).is_some_and(|one| one.has_room(NOW));
+    let room = |backends: &Backends| {
+        backends
+            .get(&id(0))
+            .is_some_and(|one| one.has_capacity(NOW))
+    };
     expect_that!(room(&backends), eq(true));
     backends.start(&id(0));
     expect_that!(room(&backends), eq(false));
--- a/crates/coursestand-routing/tests/rate_limits/world.rs
+++ b/crates/coursestand-routing/tests/rate_limits/world.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 use coursestand_model::Millis;
-use coursestand_routing::findings::BackendReports;
+use coursestand_routing::findings::BackendReporters;
 use coursestand_routing::hash::hash_of;
 use coursestand_routing::rate_limit::{
     AccessBy, Asking, KnownLimit, LimitAccess, LimitChange, OwnPart, Rate, RateWord, Reading,
@@ -29,7 +29,7 @@
     /// Its clock began this long before the world's.
     clock_ahead: Millis,
     limit: Option<KnownLimit>,
-    reports: BackendReports,
+    reports: BackendReporters,
     asks: TokenAsks,
     told_at: Option<Millis>,
     down_until: Millis,
@@ -63,7 +63,7 @@
             life: 0,
             clock_ahead: random.random_range(0..100_000),
             limit: None,
-            reports: BackendReports::default(),
+            reports: BackendReporters::default(),
             asks: TokenAsks::default(),
             told_at: None,
             down_until: 0,
@@ -497,7 +497,7 @@
     fn heard_arrives(&mut self, daemon: usize, reporter: usize, rate: Rate, at: Millis) {
         let named_at = at + self.daemons[daemon].clock_ahead;
         let one = &mut self.daemons[daemon];
-        if one.reports.take(BACKEND, reporter as u64) {
+        if one.reports.record(BACKEND, reporter as u64) {
             KnownLimit::hear(&mut one.limit, named_at, rate);
         }
     }
@@ -509,7 +509,7 @@
                 let one = &mut self.daemons[daemon];
                 one.life += 1;
                 one.limit = None;
-                one.reports = BackendReports::default();
+                one.reports = BackendReporters::default();
                 one.asks = TokenAsks::default();
                 one.told_at = None;
                 one.tokens = 1.0;
--- a/crates/coursestand-routing/tests/retry_budget/main.rs
+++ b/crates/coursestand-routing/tests/retry_budget/main.rs
@@ -1,18 +1,18 @@
-//! Retries of all daemons in every window stay within the bound on their sum, whatever
-//! daemons start, end, freeze or hear of each other.
+//! The retries of all daemons stay within the limit of the deployment in every window, whatever
+//! daemons start, terminate or freeze, and however late they are notified of each other.
 //!
-//! Callers' requests were sent a second time more often than the bound allows, up to 329
-//! times in a window of 182, while entry daemons were killed and started at few requests a
-//! second. Each life of a daemon began with its whole part of the fixed allowance, whatever
-//! the life before had spent, and cut it by the daemons that it knew at its first request.
-//! The log lines of each retry showed both: seven lives' worth granted in one window, 67 of
-//! 317 while fewer daemons were known than ran.
+//! Guards against two faults that occur when entry daemons are killed and restarted at a low
+//! request rate, which led to 329 retries in a window that allowed 182: each incarnation of a
+//! daemon began with its whole share of the fixed allowance, whatever the previous one had
+//! spent (seven times the share of a daemon in one window), and the share was computed from
+//! the daemons that it knew at its first request (67 of 317 retries were granted while fewer
+//! daemons were known than were running).
 //!
-//! `COURSESTAND_RUNS` plays more runs than the short test.
+//! `COURSESTAND_RUNS` sets a larger number of runs than the default.
 #![allow(missing_docs)]
 
 mod fleet;
-mod stopped;
+mod suspended;
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
 use googletest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use stopped::Stopping;
+use suspended::Simulation;
 
 const RUNS: u64 = 120;
 const LIMITS: RetryLimits = RetryLimits {
@@ -32,7 +32,7 @@
     window_ms: 10_000,
 };
 
-/// What daemons do.
+/// The retry limit as implemented by daemons.
 struct Bounded {
     limits: RetryLimits,
     allowance: RetryAllowance,
@@ -62,17 +62,17 @@
     }
 }
 
-/// The same with nothing that outlives a process: each life begins with its part of the
-/// allowance, by the daemons that it knows.
+/// A faulty variant without a settling time: each incarnation begins with its share of the
+/// allowance, computed from the daemons that it knows.
 struct Naive {
     limits: RetryLimits,
-    known: usize,
-    saved: Option<f64>,
+    known_daemons: usize,
+    tokens: Option<f64>,
 }
 
 impl Naive {
-    fn part(&self) -> f64 {
-        0.6 * self.limits.extra / self.known as f64
+    fn share(&self) -> f64 {
+        0.6 * self.limits.extra / self.known_daemons as f64
     }
 }
 
@@ -80,23 +80,23 @@
     fn start(_: &str, limits: RetryLimits) -> Naive {
         Naive {
             limits,
-            known: 1,
-            saved: None,
+            known_daemons: 1,
+            tokens: None,
         }
     }
     fn note_listed(&mut self, _: Millis, names: &BTreeSet<String>) {
-        self.known = names.len().max(1);
+        self.known_daemons = names.len().max(1);
     }
     fn renew(&mut self, _: Millis) {}
     fn earn(&mut self, _: Millis) {
-        let part = self.part();
-        let saved = self.saved.unwrap_or(part) + 0.6 * self.limits.ratio;
-        self.saved = Some(saved.min(part.max(1.0)));
+        let share = self.share();
+        let tokens = self.tokens.unwrap_or(share) + 0.6 * self.limits.ratio;
+        self.tokens = Some(tokens.min(share.max(1.0)));
     }
     fn spend(&mut self, _: Millis) -> bool {
-        let saved = self.saved.unwrap_or(self.part());
-        let may_spend = saved >= 1.0;
-        self.saved = Some(if may_spend { saved - 1.0 } else { saved });
+        let tokens = self.tokens.unwrap_or(self.share());
+        let may_spend = tokens >= 1.0;
+        self.tokens = Some(if may_spend { tokens - 1.0 } else { tokens });
         may_spend
     }
 }
@@ -115,32 +115,32 @@
         },
         steps: 240,
         requests: [0, 2, 10][seed as usize / 10 % 3],
-        harm: [0, 5, 30, 100][seed as usize / 30 % 4],
+        fault_rate: [0, 5, 30, 100][seed as usize / 30 % 4],
     }
 }
 
-fn play<R: Retries>(seed: u64) -> WorstWindow {
-    Fleet::<R>::new(scenario(seed), StdRng::seed_from_u64(seed)).play()
+fn simulate<R: Retries>(seed: u64) -> WorstWindow {
+    Fleet::<R>::new(scenario(seed), StdRng::seed_from_u64(seed)).run()
 }
 
 #[gtest]
-fn retries_sum_up_within_the_bound() {
+fn retries_of_all_daemons_stay_within_the_limit() {
     for seed in 0..runs() {
-        let worst = play::<Bounded>(seed);
+        let worst = simulate::<Bounded>(seed);
         expect_that!(worst.is_over(), eq(false), "seed {seed}: {worst:?}");
     }
 }
 
-/// The test must be able to fail.
+/// Shows that the test above detects the fault.
 #[gtest]
-fn without_what_outlives_a_process_the_bound_is_broken() {
-    let broken = (0..RUNS).filter(|seed| play::<Naive>(*seed).is_over());
-    expect_that!(broken.count(), gt(RUNS as usize / 4));
+fn without_a_settling_time_the_limit_is_exceeded() {
+    let exceeded = (0..RUNS).filter(|seed| simulate::<Naive>(*seed).is_over());
+    expect_that!(exceeded.count(), gt(RUNS as usize / 4));
 }
 
-/// A daemon that has been connected, with these others listed, for longer than it takes to
-/// hold a part.
-fn settled(name: &str, others: &[String]) -> (RetryAllowance, Millis) {
+/// Returns the allowance of a daemon that has been connected, with these others listed, for
+/// longer than the settling time, and the time at which that is so.
+fn settled_allowance(name: &str, others: &[String]) -> (RetryAllowance, Millis) {
     let mut allowance = RetryAllowance::new(name, LIMITS, HAND_OVER_MS);
     let mut now = 0;
     while now <= 30_000 {
@@ -152,38 +152,38 @@
 }
 
 #[gtest]
-fn the_parts_of_any_number_of_daemons_sum_up_to_the_same() {
+fn the_shares_of_any_number_of_daemons_have_the_same_sum() {
     for daemons in [1, 3, 12, 65, 300, 3_500] {
         let names: Vec<String> = (0..daemons).map(|number| format!("d{number}")).collect();
-        let parts = names.iter().map(|name| {
-            let (allowance, now) = settled(name, &names);
-            allowance.part(now)
+        let shares = names.iter().map(|name| {
+            let (allowance, now) = settled_allowance(name, &names);
+            allowance.share(now)
         });
-        expect_that!(parts.sum::<usize>(), eq(32), "{daemons} daemons");
+        expect_that!(shares.sum::<usize>(), eq(32), "{daemons} daemons");
     }
 }
 
 #[gtest]
-fn a_part_is_held_only_while_the_daemon_is_connected() {
+fn a_daemon_has_a_share_only_while_it_is_connected() {
     let others = ["a".to_owned(), "b".to_owned()];
-    let (allowance, now) = settled("a", &others);
-    expect_that!(allowance.part(now), eq(16));
-    let lapsed = now + LIMITS.window_ms;
-    expect_that!(allowance.part(lapsed), eq(0));
-    let mut again = allowance.clone();
-    again.renew(lapsed);
-    expect_that!(again.part(lapsed), eq(0));
+    let (allowance, now) = settled_allowance("a", &others);
+    expect_that!(allowance.share(now), eq(16));
+    let expired = now + LIMITS.window_ms;
+    expect_that!(allowance.share(expired), eq(0));
+    let mut renewed = allowance.clone();
+    renewed.renew(expired);
+    expect_that!(renewed.share(expired), eq(0));
 }
 
 #[gtest]
-fn a_daemon_that_is_no_longer_listed_counts_until_what_it_spent_is_over() {
+fn a_daemon_removed_from_the_list_counts_until_its_spent_retries_expire() {
     let others = ["a".to_owned(), "b".to_owned()];
-    let (mut allowance, start) = settled("a", &others);
+    let (mut allowance, start) = settled_allowance("a", &others);
     let mut now = start;
     while now < start + 20_000 {
         allowance.note_listed(now, std::iter::empty());
         allowance.renew(now);
-        expect_that!(allowance.part(now), eq(16), "after {} ms", now - start);
+        expect_that!(allowance.share(now), eq(16), "after {} ms", now - start);
         now += 500;
     }
     let much_later = start + 30_000;
@@ -191,11 +191,11 @@
         allowance.renew(now);
         now += 500;
     }
-    expect_that!(allowance.part(much_later), eq(32));
+    expect_that!(allowance.share(much_later), eq(32));
 }
 
 #[gtest]
-fn what_requests_earn_expires_within_half_a_window() {
+fn earned_retries_expire_within_half_a_window() {
     let allowance = RetryAllowance::new("a", LIMITS, HAND_OVER_MS);
     let mut budget = RetryBudget::default();
     for _ in 0..25 {
@@ -206,29 +206,29 @@
     expect_that!(budget.spend(5_000, LIMITS, &allowance), eq(false));
 }
 
-fn play_stopping(seed: u64, holds_back: bool) -> WorstWindow {
+fn simulate_suspensions(seed: u64, withholds_retries: bool) -> WorstWindow {
     let number = seed as usize;
-    let scenario = stopped::Scenario {
+    let scenario = suspended::Scenario {
         limits: LIMITS,
         daemons: [1, 3, 12, 40][number % 4],
         steps_between: [1, 4, 20][number / 4 % 3],
-        longest_s: [5, 20, 60][number / 12 % 3],
-        lost: [0, 10, 100][number / 36 % 3],
+        max_suspension_s: [5, 20, 60][number / 12 % 3],
+        lost_percent: [0, 10, 100][number / 36 % 3],
     };
-    Stopping::new(scenario, holds_back, StdRng::seed_from_u64(seed)).play()
+    Simulation::new(scenario, withholds_retries, StdRng::seed_from_u64(seed)).run()
 }
 
 #[gtest]
-fn retries_that_arrive_late_sum_up_within_the_bound() {
+fn retries_that_arrive_late_stay_within_the_limit() {
     for seed in 0..runs() {
-        let worst = play_stopping(seed, true);
+        let worst = simulate_suspensions(seed, true);
         expect_that!(worst.is_over(), eq(false), "seed {seed}: {worst:?}");
     }
 }
 
-/// The test must be able to fail.
+/// Shows that the test above detects the fault.
 #[gtest]
-fn without_holding_retries_back_late_arrivals_break_the_bound() {
-    let broken = (0..RUNS).filter(|seed| play_stopping(*seed, false).is_over());
-    expect_that!(broken.count(), gt(10));
+fn without_withholding_retries_late_arrivals_exceed_the_limit() {
+    let exceeded = (0..RUNS).filter(|seed| simulate_suspensions(*seed, false).is_over());
+    expect_that!(exceeded.count(), gt(10));
 }
--- a/crates/coursestand-routing/tests/retry_budget/stopped.rs
+++ b/crates/coursestand-routing/tests/retry_budget/suspended.rs
@@ -1,5 +1,5 @@
-//! Daemons that send requests to back ends which stand still for a while, and read all of
-//! what was sent to them once they go on.
+//! Simulates daemons that send requests to back ends which are suspended for a while and read
+//! all requests that were sent to them once they resume.
 
 use std::time::{Duration, Instant};
 
@@ -9,97 +9,97 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-use crate::settled;
+use crate::settled_allowance;
 
 const STEP_MS: Millis = 100;
 const RUN_MS: Millis = 120_000;
-/// A copy of which nothing comes back is given up after this.
-const PATIENCE_MS: Millis = 2_000;
-/// Daemons hear of each other as often as this.
-const RELIST_MS: Millis = 2_000;
+/// Time after which an unanswered copy is abandoned.
+const ATTEMPT_TIMEOUT_MS: Millis = 2_000;
+/// Interval at which daemons are notified of each other.
+const LIST_INTERVAL_MS: Millis = 2_000;
 const BACKENDS: usize = 8;
-/// Instants of the judge begin this long before the run.
-const EARLIER: Duration = Duration::from_secs(60);
+/// Offset of the start of the run, since the evaluated instants may precede it.
+const START_OFFSET: Duration = Duration::from_secs(60);
 
-/// How a run is made.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub limits: RetryLimits,
     pub daemons: usize,
     /// Steps between two requests of a daemon.
     pub steps_between: usize,
-    /// Longest stand-still in seconds.
-    pub longest_s: Millis,
-    /// Answers of a hundred that are lost.
-    pub lost: u32,
+    /// Maximum duration of a suspension in seconds.
+    pub max_suspension_s: Millis,
+    /// Percentage of answers that are lost.
+    pub lost_percent: u32,
 }
 
 struct Backend {
-    /// It stands still until then.
-    stopped_until: Millis,
-    /// Requests that it has not read.
+    /// Time until which it is suspended.
+    suspended_until: Millis,
+    /// Requests that were sent to it and that it has not read.
     unread: Vec<String>,
 }
 
 struct Daemon {
     budget: RetryBudget,
     allowance: RetryAllowance,
-    /// Copies that are waited for, and until when.
+    /// Copies without an answer, each with the time at which it is abandoned.
     waiting: Vec<(Millis, SentCopy)>,
 }
 
-pub struct Stopping {
+pub struct Simulation {
     scenario: Scenario,
-    /// Whether copies that may still arrive hold retries back.
-    holds_back: bool,
+    /// Whether copies that may still arrive withhold retries.
+    withholds_retries: bool,
     random: StdRng,
     backends: Vec<Backend>,
     names: Vec<String>,
     daemons: Vec<Daemon>,
-    began: Instant,
+    started_at: Instant,
     arrivals: Vec<Arrival>,
-    asked: Vec<Instant>,
+    requested_at: Vec<Instant>,
 }
 
-impl Stopping {
-    pub fn new(scenario: Scenario, holds_back: bool, random: StdRng) -> Stopping {
+impl Simulation {
+    pub fn new(scenario: Scenario, withholds_retries: bool, random: StdRng) -> Simulation {
         let names: Vec<String> = (0..scenario.daemons)
             .map(|number| format!("daemon-{number}"))
             .collect();
         let daemons = names.iter().map(|name| Daemon {
             budget: RetryBudget::default(),
-            allowance: settled(name, &names).0,
+            allowance: settled_allowance(name, &names).0,
             waiting: Vec::new(),
         });
         let daemons: Vec<Daemon> = daemons.collect();
-        Stopping {
+        Simulation {
             scenario,
-            holds_back,
+            withholds_retries,
             random,
             backends: (0..BACKENDS)
                 .map(|_| Backend {
-                    stopped_until: 0,
+                    suspended_until: 0,
                     unread: Vec::new(),
                 })
                 .collect(),
             daemons,
             names,
-            began: Instant::now() + EARLIER,
+            started_at: Instant::now() + START_OFFSET,
             arrivals: Vec::new(),
-            asked: Vec::new(),
+            requested_at: Vec::new(),
         }
     }
 
-    /// Plays the scenario and judges the worst window.
-    pub fn play(mut self) -> WorstWindow {
-        // From when parts of the allowance are held.
-        let first = settled("a", &[]).1;
+    /// Runs the scenario and returns the window with the largest excess of retries.
+    pub fn run(mut self) -> WorstWindow {
+        // Time from which on daemons have shares of the allowance.
+        let start = settled_allowance("a", &[]).1;
         for step in 0..(RUN_MS / STEP_MS) {
-            let now = first + step * STEP_MS;
-            self.stop_and_go(now);
+            let now = start + step * STEP_MS;
+            self.suspend_and_resume(now);
             for number in 0..self.daemons.len() {
                 self.renew(now, number);
-                self.give_up(now, number);
+                self.abandon(now, number);
                 if (step as usize + number).is_multiple_of(self.scenario.steps_between) {
                     self.request(now, number);
                 }
@@ -111,29 +111,29 @@
             extra: limits.extra,
             window: Duration::from_millis(limits.window_ms),
         };
-        worst_window(bound, &self.arrivals, &self.asked)
+        worst_window(bound, &self.arrivals, &self.requested_at)
     }
 
-    /// All daemons stay connected, and know each other.
+    /// Renews the lease of a daemon: all daemons stay connected, and know each other.
     fn renew(&mut self, now: Millis, number: usize) {
         let allowance = &mut self.daemons[number].allowance;
         allowance.renew(now);
-        if now.is_multiple_of(RELIST_MS) {
+        if now.is_multiple_of(LIST_INTERVAL_MS) {
             allowance.note_listed(now, self.names.iter().map(String::as_str));
         }
     }
 
-    /// Half of the back ends are stopped together, now and then.
-    fn stop_and_go(&mut self, now: Millis) {
+    /// Suspends half of the back ends together at random times, and lets resumed ones read.
+    fn suspend_and_resume(&mut self, now: Millis) {
         if self.random.random_range(0..100) == 0 {
-            let longest = self.scenario.longest_s * 1_000;
-            let until = now + self.random.random_range(0..longest);
+            let max_ms = self.scenario.max_suspension_s * 1_000;
+            let until = now + self.random.random_range(0..max_ms);
             for backend in &mut self.backends[..BACKENDS / 2] {
-                backend.stopped_until = backend.stopped_until.max(until);
+                backend.suspended_until = backend.suspended_until.max(until);
             }
         }
         for number in 0..BACKENDS {
-            if now < self.backends[number].stopped_until {
+            if now < self.backends[number].suspended_until {
                 continue;
             }
             for id in std::mem::take(&mut self.backends[number].unread) {
@@ -143,47 +143,48 @@
     }
 
     fn arrive(&mut self, now: Millis, id: String) {
-        let at = self.began + Duration::from_millis(now);
+        let at = self.started_at + Duration::from_millis(now);
         self.arrivals.push(Arrival { id, at });
     }
 
-    fn give_up(&mut self, now: Millis, number: usize) {
+    fn abandon(&mut self, now: Millis, number: usize) {
         let daemon = &mut self.daemons[number];
-        let unsettled = daemon.budget.unsettled();
+        let unresolved = daemon.budget.unresolved();
         daemon.waiting.retain(|(until, copy)| {
             let is_over = *until <= now;
             if is_over {
-                unsettled.give_up(*copy);
+                unresolved.abandon(*copy);
             }
             !is_over
         });
     }
 
-    /// Sends a copy to some back end. Returns it, and whether it was answered.
+    /// Sends a copy to a random back end. Returns it, and whether it was answered.
     fn send(&mut self, now: Millis, number: usize, id: &str) -> (SentCopy, bool) {
         let backend = self.random.random_range(0..BACKENDS);
         let copy = SentCopy {
             backend: backend as u64,
             sent_at: now,
         };
-        if now < self.backends[backend].stopped_until {
+        if now < self.backends[backend].suspended_until {
             self.backends[backend].unread.push(id.to_owned());
             return (copy, false);
         }
         self.arrive(now, id.to_owned());
         let limits = self.scenario.limits;
-        let unsettled = self.daemons[number].budget.unsettled();
-        unsettled.settle_until(now, limits, copy);
+        let unresolved = self.daemons[number].budget.unresolved();
+        unresolved.resolve_up_to(now, limits, copy);
         (copy, true)
     }
 
     fn request(&mut self, now: Millis, number: usize) {
-        let id = self.asked.len().to_string();
+        let id = self.requested_at.len().to_string();
         let limits = self.scenario.limits;
-        self.asked.push(self.began + Duration::from_millis(now));
+        self.requested_at
+            .push(self.started_at + Duration::from_millis(now));
         self.daemons[number].budget.earn(now, limits);
         let (first, is_answered) = self.send(now, number, &id);
-        let is_lost = self.random.random_range(0..100) < self.scenario.lost;
+        let is_lost = self.random.random_range(0..100) < self.scenario.lost_percent;
         if is_answered && !is_lost {
             return;
         }
@@ -191,14 +192,14 @@
         if !daemon.budget.spend(now, limits, &daemon.allowance) {
             return;
         }
-        if !is_answered && self.holds_back {
-            daemon.budget.unsettled().give_up(first);
+        if !is_answered && self.withholds_retries {
+            daemon.budget.unresolved().abandon(first);
         }
         let (second, is_answered) = self.send(now, number, &id);
-        if !is_answered && self.holds_back {
+        if !is_answered && self.withholds_retries {
             let daemon = &mut self.daemons[number];
-            daemon.budget.unsettled().send(second);
-            daemon.waiting.push((now + PATIENCE_MS, second));
+            daemon.budget.unresolved().send(second);
+            daemon.waiting.push((now + ATTEMPT_TIMEOUT_MS, second));
         }
     }
 }
