--- a/crates/coursestand-routing/tests/routing.rs
+++ b/crates/coursestand-routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Decisions about one request.
+//! Routing decisions: route, traffic split, region and back end of a request.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -10,10 +10,10 @@
 };
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, RegionId, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::cold::{ColdLimits, OwnerViews, owner};
 use coursestand_routing::hash::hash_of;
-use coursestand_routing::picker::{Balance, Place};
+use coursestand_routing::picker::{Balance, PickerConfig};
 use coursestand_routing::shares::RegionShares;
 use coursestand_routing::split::SplitState;
 use coursestand_routing::{
@@ -26,8 +26,8 @@
 
 const ZONES: [(&str, &str); 3] = [("a-1", "a"), ("b-1", "b"), ("c-1", "c")];
 
-fn place(region: &str) -> Place {
-    Place {
+fn config(region: &str) -> PickerConfig {
+    PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from(region),
         zones: ZONES
@@ -40,7 +40,7 @@
         },
         balance: Balance {
             hard_load: 1.6,
-            trust: ReportTrust {
+            report_decay: ReportDecay {
                 hold_ms: 250,
                 half_life_ms: 400,
             },
@@ -48,7 +48,7 @@
     }
 }
 
-fn news(id: &str, zone: &str) -> InstanceNews {
+fn update(id: &str, zone: &str) -> InstanceNews {
     let host = (hash_of(id) % 250) as u8;
     InstanceNews {
         instance: Instance {
@@ -70,7 +70,7 @@
     let mut backends = Backends::default();
     for (zone, count) in counts {
         for number in 0..*count {
-            backends.merge(0, news(&format!("{zone}-i{number}"), zone));
+            backends.merge(0, update(&format!("{zone}-i{number}"), zone));
         }
     }
     backends
@@ -101,21 +101,21 @@
     (1..=12).map(|number| format!("edge-{number}")).collect()
 }
 
-/// The view of a daemon that has followed control for long.
+/// The view of a daemon that has followed control for a long time.
 fn owners() -> OwnerViews {
     let mut owners = OwnerViews::new(0);
     owners.set(0, Some(daemons()));
     owners
 }
 
-struct Asking<'a> {
+struct RequestParameters<'a> {
     service: &'a ServiceId,
     allowed: &'a [RegionId],
     excluded: &'a [BackendId],
 }
 
-impl Asking<'_> {
-    fn of(&self, key: &str, now: u64) -> PickRequest<'_> {
+impl RequestParameters<'_> {
+    fn request(&self, key: &str, now: u64) -> PickRequest<'_> {
         PickRequest {
             service: self.service,
             key: hash_of(key),
@@ -135,22 +135,22 @@
     key: &str,
 ) -> std::result::Result<String, Refusal> {
     let service = ServiceId::from("s");
-    let asking = Asking {
+    let parameters = RequestParameters {
         service: &service,
         allowed: &[],
         excluded: &[],
     };
-    let picked = picker.pick(backends, &catalog(), &owners(), &asking.of(key, 0));
+    let picked = picker.pick(backends, &catalog(), &owners(), &parameters.request(key, 0));
     picked.map(|pick| pick.id.0)
 }
 
 #[gtest]
 fn every_daemon_of_a_region_sends_a_key_to_the_same_back_end() {
     let backends = fleet(&[("a-1", 5), ("b-1", 5), ("c-1", 5)]);
-    let mut first = Picker::new(place("a"));
-    let mut second = Picker::new(Place {
+    let mut first = Picker::new(config("a"));
+    let mut second = Picker::new(PickerConfig {
         daemon: "edge-2".to_owned(),
-        ..place("a")
+        ..config("a")
     });
     for number in 0..200 {
         let key = number.to_string();
@@ -162,15 +162,15 @@
 }
 
 #[gtest]
-fn a_back_end_that_leaves_moves_only_its_own_keys() {
+fn a_leaving_back_end_moves_only_its_own_keys() {
     let mut backends = fleet(&[("a-1", 5), ("b-1", 5), ("c-1", 5)]);
-    let mut picker = Picker::new(place("a"));
+    let mut picker = Picker::new(config("a"));
     let keys: Vec<String> = (0..400).map(|number| number.to_string()).collect();
     let before: Vec<_> = keys
         .iter()
         .map(|key| pick(&mut picker, &backends, key))
         .collect();
-    let mut leaving = news("a-1-i0", "a-1");
+    let mut leaving = update("a-1-i0", "a-1");
     leaving.instance.sequence = 2;
     leaving.instance.phase = InstancePhase::Draining;
     backends.merge(1, leaving);
@@ -180,23 +180,23 @@
         expect_that!(after, not(eq(&Ok("a-1-i0".to_owned()))));
         moved += usize::from(after != *before);
     }
-    let had = before
+    let assigned = before
         .iter()
         .filter(|id| **id == Ok("a-1-i0".to_owned()))
         .count();
-    expect_that!(moved, eq(had));
+    expect_that!(moved, eq(assigned));
 }
 
 #[gtest]
-fn a_full_service_refuses_and_does_not_spill_over_to_another_region() {
+fn a_service_at_capacity_refuses_and_does_not_spill_over_to_another_region() {
     let mut backends = fleet(&[("a-1", 2), ("b-1", 4), ("c-1", 4)]);
-    let mut picker = Picker::new(place("b"));
+    let mut picker = Picker::new(config("b"));
     let key = (0..100)
         .map(|number| number.to_string())
         .find(|key| pick(&mut picker, &backends, key).is_ok_and(|id| id.starts_with('b')))
-        .expect("a key of the region");
-    // Nothing is learned yet: the key's first back end of the region fills up to
-    // the hard load of its four slots, and then it is busy.
+        .expect("a key assigned to the region");
+    // Without known work times the key's first back end of the region fills up to the hard
+    // load of its four slots, and then the service is busy.
     let mut taken: HashMap<String, u32> = HashMap::new();
     while let Ok(id) = pick(&mut picker, &backends, &key) {
         backends.start(&BackendId::from(id.as_str()));
@@ -214,7 +214,7 @@
 #[gtest]
 fn a_region_without_back_ends_is_served_by_the_others() {
     let backends = fleet(&[("b-1", 4), ("c-1", 4)]);
-    let mut picker = Picker::new(place("a"));
+    let mut picker = Picker::new(config("a"));
     for number in 0..50 {
         expect_that!(
             pick(&mut picker, &backends, &number.to_string()),
@@ -228,19 +228,19 @@
 }
 
 #[gtest]
-fn homes_and_evacuations_are_kept_to() {
+fn allowed_regions_and_evacuations_are_respected() {
     let backends = fleet(&[("a-1", 3), ("b-1", 3), ("c-1", 3)]);
     let mut catalog = catalog();
     let service = ServiceId::from("s");
     let allowed = [RegionId::from("b")];
-    let asking = Asking {
+    let parameters = RequestParameters {
         service: &service,
         allowed: &allowed,
         excluded: &[],
     };
-    let mut picker = Picker::new(place("a"));
+    let mut picker = Picker::new(config("a"));
     for number in 0..100 {
-        let request = asking.of(&number.to_string(), 0);
+        let request = parameters.request(&number.to_string(), 0);
         let picked = picker
             .pick(&backends, &catalog, &owners(), &request)
             .expect("a pick");
@@ -248,12 +248,12 @@
     }
     catalog.set_evacuation(&ZoneId::from("b-1"), true, 2);
     picker.invalidate(1);
-    let refused = picker.pick(&backends, &catalog, &owners(), &asking.of("1", 1));
+    let refused = picker.pick(&backends, &catalog, &owners(), &parameters.request("1", 1));
     expect_that!(refused, eq(&Err(Refusal::NoBackend)));
 }
 
 #[gtest]
-fn a_report_of_load_counts_and_fades() {
+fn a_load_report_counts_and_decays() {
     let mut backends = fleet(&[("a-1", 1), ("b-1", 1), ("c-1", 1)]);
     let id = BackendId::from("a-1-i0");
     backends.start(&id);
@@ -263,11 +263,11 @@
     };
     backends.note_answer(1_000, &id, Some(report));
     backends.finish(&id);
-    let trust = place("a").balance.trust;
-    let load = |now| backends.get(&id).expect("known").load(now, trust);
+    let report_decay = config("a").balance.report_decay;
+    let load = |now| backends.get(&id).expect("known").load(now, report_decay);
     expect_that!(load(1_200), near(6.0, 0.01));
-    // One second of what is usual counts a quarter of the time constant: 1.33 of
-    // 6, to which the report fades, and which fades itself.
+    // One second is a quarter of the time constant of the average: 1.33 of 6. The report
+    // decays towards this average, which itself decays.
     expect_that!(load(1_650), near(3.627, 0.001));
     expect_that!(load(10_000), near(0.609, 0.001));
     expect_that!(load(60_000), lt(0.1));
@@ -275,8 +275,8 @@
 
 proptest! {
     #[test]
-    fn shares_sum_up_and_put_the_home_first(
-        own in 0..3_usize,
+    fn shares_sum_up_to_one_and_exceed_no_region_s_capacity(
+        local in 0..3_usize,
         capacity in proptest::collection::vec(0..40_u32, 3),
     ) {
         let regions = ["a", "b", "c"];
@@ -286,29 +286,29 @@
             .filter(|(_, capacity)| **capacity > 0)
             .map(|(region, capacity)| (RegionId::from(*region), f64::from(*capacity)))
             .collect();
-        let shares = RegionShares::new(&RegionId::from(regions[own]), &capacities, 3);
+        let shares = RegionShares::new(&RegionId::from(regions[local]), &capacities, 3);
         let total: f64 = shares.iter().map(|(_, share)| share).sum();
         if capacities.is_empty() {
             prop_assert_eq!(total, 0.0);
         } else {
             prop_assert!((total - 1.0).abs() < 1e-9);
         }
-        // No region gets more than its back ends' part of all demand.
+        // No region is assigned more of the total demand than its fraction of the capacity.
         let all: f64 = capacities.values().sum();
         for (region, capacity) in &capacities {
-            let taken: f64 = regions
+            let assigned: f64 = regions
                 .iter()
                 .map(|from| {
                     let shares = RegionShares::new(&RegionId::from(*from), &capacities, 3);
                     shares.iter().filter(|(to, _)| to == region).map(|(_, share)| share / 3.0).sum::<f64>()
                 })
                 .sum();
-            prop_assert!(taken <= capacity / all + 1e-9);
+            prop_assert!(assigned <= capacity / all + 1e-9);
         }
     }
 
     #[test]
-    fn a_split_divides_evenly_over_any_stretch(
+    fn a_split_divides_evenly_over_any_number_of_requests(
         weights in proptest::collection::vec(1..100_u32, 1..5),
         rounds in 100..400_usize,
     ) {
@@ -324,30 +324,30 @@
         }
     }
 
-    /// Daemons that start again and again, with few requests each, divide them as one does.
+    /// Many incarnations with few requests each divide these by the weights in total.
     #[test]
-    fn lives_of_few_requests_divide_evenly_all_together(
+    fn incarnations_with_few_requests_divide_evenly_in_total(
         weights in proptest::collection::vec(1..100_u32, 1..5),
-        requests_of_a_life in 1..4_usize,
+        requests_per_incarnation in 1..4_usize,
         seed in any::<u64>(),
     ) {
-        const LIVES: usize = 4_000;
+        const INCARNATIONS: usize = 4_000;
         let mut random = StdRng::seed_from_u64(seed);
         let mut counts = vec![0_usize; weights.len()];
-        for _ in 0..LIVES {
-            let mut state = SplitState::drawn(&weights, random.random());
-            for _ in 0..requests_of_a_life {
+        for _ in 0..INCARNATIONS {
+            let mut state = SplitState::at_offset(&weights, random.random());
+            for _ in 0..requests_per_incarnation {
                 counts[state.next(&weights)] += 1;
             }
         }
         let total: u32 = weights.iter().sum();
         for (count, weight) in counts.iter().zip(&weights) {
-            let share = *count as f64 / (LIVES * requests_of_a_life) as f64;
+            let share = *count as f64 / (INCARNATIONS * requests_per_incarnation) as f64;
             prop_assert!((share - f64::from(*weight) / f64::from(total)).abs() < 0.05);
         }
     }
 
-    /// The longest prefix, as a naive search finds it.
+    /// Compares the route with that of a naive search for the longest prefix.
     #[test]
     fn the_longest_prefix_wins(
         prefixes in proptest::collection::btree_set("(/[ab]){1,4}/", 1..8),
@@ -390,32 +390,32 @@
 }
 
 #[gtest]
-fn a_cold_back_end_has_one_owner_and_others_send_it_nothing() {
+fn a_cold_back_end_gets_requests_only_from_its_owner() {
     let mut backends = Backends::default();
-    let mut cold = news("a-1-i0", "a-1");
+    let mut cold = update("a-1-i0", "a-1");
     cold.cold_ms = 3_000;
     backends.merge(0, cold);
     let names = daemons();
     let id = BackendId::from("a-1-i0");
-    let owning = owner(&id, names.iter().map(String::as_str))
+    let owner_name = owner(&id, names.iter().map(String::as_str))
         .expect("an owner")
         .to_owned();
     for name in &names {
-        let mut picker = Picker::new(Place {
+        let mut picker = Picker::new(PickerConfig {
             daemon: name.clone(),
-            ..place("a")
+            ..config("a")
         });
         let result = pick(&mut picker, &backends, "k");
-        expect_that!(result.is_ok(), eq(*name == owning));
+        expect_that!(result.is_ok(), eq(*name == owner_name));
     }
 }
 
 #[gtest]
-fn a_back_end_that_is_always_crowded_counts_as_such_when_its_last_report_is_old() {
+fn a_permanently_overloaded_back_end_counts_as_such_when_its_last_report_is_old() {
     let mut backends = fleet(&[("a-1", 2)]);
-    let trust = place("a").balance.trust;
-    let [crowded, quiet] = ["a-1-i0", "a-1-i1"].map(BackendId::from);
-    // A daemon of many hears of each back end every two seconds.
+    let report_decay = config("a").balance.report_decay;
+    let [overloaded, idle] = ["a-1-i0", "a-1-i1"].map(BackendId::from);
+    // In a large fleet a daemon receives a report of each back end every two seconds.
     for now in (0..20_000).step_by(2_000) {
         let many = LoadReport {
             running: 4,
@@ -425,24 +425,24 @@
             running: 1,
             waiting: 0,
         };
-        backends.note_answer(now, &crowded, Some(many));
-        backends.note_answer(now, &quiet, Some(few));
+        backends.note_answer(now, &overloaded, Some(many));
+        backends.note_answer(now, &idle, Some(few));
     }
     let load = |id, now| {
         backends
             .get(id)
-            .map_or(0.0, |backend| backend.load(now, trust))
+            .map_or(0.0, |backend| backend.load(now, report_decay))
     };
-    expect_that!(load(&crowded, 20_000), ge(6.0));
-    expect_that!(load(&quiet, 20_000), le(1.0));
-    // Nothing is believed for ever.
-    expect_that!(load(&crowded, 80_000), le(0.5));
+    expect_that!(load(&overloaded, 20_000), ge(6.0));
+    expect_that!(load(&idle, 20_000), le(1.0));
+    // The average decays as well.
+    expect_that!(load(&overloaded, 80_000), le(0.5));
 }
 
 #[gtest]
-fn one_report_of_a_crowd_fades_within_seconds() {
+fn a_single_report_of_overload_decays_within_seconds() {
     let mut backends = fleet(&[("a-1", 1)]);
-    let trust = place("a").balance.trust;
+    let report_decay = config("a").balance.report_decay;
     let id = BackendId::from("a-1-i0");
     for now in (0..20_000).step_by(500) {
         backends.note_answer(
@@ -465,7 +465,7 @@
     let load = |now| {
         backends
             .get(&id)
-            .map_or(0.0, |backend| backend.load(now, trust))
+            .map_or(0.0, |backend| backend.load(now, report_decay))
     };
     expect_that!(load(20_000), ge(11.0));
     expect_that!(load(22_000), le(3.0));
--- a/crates/coursestand-routing/tests/shared_address.rs
+++ b/crates/coursestand-routing/tests/shared_address.rs
@@ -1,6 +1,5 @@
-//! Two incarnations at one address, as an entry daemon sees them: a late word of one
-//! never ends the other, and the one that another instance answers for is not asked
-//! again.
+//! Two instances at one address in an entry daemon: a late update of one never removes the
+//! other, and a back end whose address is used by another instance gets no more requests.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -10,7 +9,7 @@
 use coursestand_routing::Backends;
 use googletest::prelude::*;
 
-fn news(id: &str, sequence: u64, phase: InstancePhase) -> InstanceNews {
+fn update(id: &str, sequence: u64, phase: InstancePhase) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: BackendId::from(id),
@@ -32,37 +31,37 @@
 }
 
 #[gtest]
-fn a_late_word_of_one_does_not_end_the_other() {
+fn a_late_update_of_one_instance_does_not_remove_the_other() {
     let mut backends = Backends::default();
-    backends.merge(0, news("new", 1, InstancePhase::Ready));
-    backends.merge(1, news("old", 9, InstancePhase::Ready));
+    backends.merge(0, update("new", 1, InstancePhase::Ready));
+    backends.merge(1, update("old", 9, InstancePhase::Ready));
     expect_that!(is_known(&backends, "new"), eq(true));
-    backends.merge(2, news("old", 9, InstancePhase::Gone));
+    backends.merge(2, update("old", 9, InstancePhase::Gone));
     expect_that!(is_known(&backends, "old"), eq(false));
     expect_that!(is_known(&backends, "new"), eq(true));
 }
 
 #[gtest]
-fn one_whose_address_another_has_is_not_asked_again() {
+fn a_misdirected_back_end_is_removed_if_another_has_its_address() {
     let mut backends = Backends::default();
-    backends.merge(0, news("new", 1, InstancePhase::Ready));
-    backends.merge(1, news("old", 9, InstancePhase::Ready));
+    backends.merge(0, update("new", 1, InstancePhase::Ready));
+    backends.merge(1, update("old", 9, InstancePhase::Ready));
     backends.note_misdirected(2, &BackendId::from("old"));
     expect_that!(is_known(&backends, "old"), eq(false));
-    // Nor when another control process still says that it is ready.
-    backends.merge(2, news("old", 10, InstancePhase::Ready));
+    // It is not added again when another control process still announces it as ready.
+    backends.merge(2, update("old", 10, InstancePhase::Ready));
     expect_that!(is_known(&backends, "old"), eq(false));
     expect_that!(is_known(&backends, "new"), eq(true));
     let service = ServiceId::from("s");
     expect_that!(backends.of_service(&service).count(), eq(1));
 }
 
-/// Four back ends that misbehaved said once that they were another instance, and a daemon
-/// had none left for good.
+/// Guards against removing a faulty back end for good when it reports the identity of another
+/// instance: four such back ends left a daemon without any.
 #[gtest]
-fn one_that_has_its_address_alone_comes_back() {
+fn a_misdirected_back_end_with_an_address_of_its_own_is_only_ejected() {
     let mut backends = Backends::default();
-    backends.merge(0, news("only", 1, InstancePhase::Ready));
+    backends.merge(0, update("only", 1, InstancePhase::Ready));
     backends.note_misdirected(1, &BackendId::from("only"));
     expect_that!(is_known(&backends, "only"), eq(true));
     let only = BackendId::from("only");
--- a/crates/coursestand-routing/tests/untrusted_figures.rs
+++ b/crates/coursestand-routing/tests/untrusted_figures.rs
@@ -1,20 +1,20 @@
-//! Figures that back ends may send and that no counter holds.
+//! Extreme values that back ends may report must not overflow any arithmetic.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
 
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
-use coursestand_routing::backends::ReportTrust;
+use coursestand_routing::backends::ReportDecay;
 use coursestand_routing::{Backend, Backends, LoadReport};
 use googletest::prelude::*;
 
-const TRUST: ReportTrust = ReportTrust {
+const REPORT_DECAY: ReportDecay = ReportDecay {
     hold_ms: 1_000,
     half_life_ms: 1_000,
 };
 
-fn news(cold_ms: Millis) -> InstanceNews {
+fn update(cold_ms: Millis) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: BackendId::from("i"),
@@ -31,37 +31,37 @@
     }
 }
 
-fn known(backends: &Backends) -> &Backend {
+fn lookup(backends: &Backends) -> &Backend {
     backends.get(&BackendId::from("i")).expect("known")
 }
 
 #[gtest]
-fn a_load_past_all_bounds_is_borne() {
+fn a_reported_load_of_the_maximum_value_does_not_overflow() {
     let id = BackendId::from("i");
     let mut backends = Backends::default();
-    backends.merge(0, news(0));
+    backends.merge(0, update(0));
     let report = LoadReport {
         running: u32::MAX,
         waiting: u32::MAX,
     };
     backends.note_answer(10, &id, Some(report));
-    expect_that!(known(&backends).load(10, TRUST), gt(8e9));
+    expect_that!(lookup(&backends).load(10, REPORT_DECAY), gt(8e9));
 }
 
 #[gtest]
-fn a_cold_time_without_end_is_borne() {
+fn a_cold_time_of_the_maximum_value_does_not_overflow() {
     let mut backends = Backends::default();
-    backends.merge(10, news(Millis::MAX));
-    expect_that!(known(&backends).is_cold(1_000), eq(true));
+    backends.merge(10, update(Millis::MAX));
+    expect_that!(lookup(&backends).is_cold(1_000), eq(true));
     backends.merge(
         20,
         InstanceNews {
             instance: Instance {
                 sequence: 2,
-                ..news(0).instance
+                ..update(0).instance
             },
             cold_ms: 0,
         },
     );
-    expect_that!(known(&backends).is_cold(1_000), eq(false));
+    expect_that!(lookup(&backends).is_cold(1_000), eq(false));
 }
