--- a/crates/coursestand-daemon/src/fleet/edge_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_follower.rs
@@ -13,7 +13,7 @@
 use coursestand_proxy::trials::CaseNote;
 use coursestand_proxy::{EdgeState, LinkWatch};
 use coursestand_routing::hash::{combine, hash_of};
-use coursestand_routing::{SharedCase, SharedFinding, TrialVerdict};
+use coursestand_routing::{SharedCrashRecord, SharedFinding, TrialVerdict};
 use coursestand_transport::stream::StreamError;
 use log::info;
 use serde_json::{Value, json};
@@ -380,12 +380,12 @@
     }
 
     /// What it knows of them.
-    pub(super) fn told_cases(&self) -> Vec<SharedCase> {
+    pub(super) fn told_cases(&self) -> Vec<SharedCrashRecord> {
         self.state.told_cases()
     }
 
     /// Takes in what a control process knows of them.
-    pub(super) fn take_cases(&self, cases: &[SharedCase]) {
+    pub(super) fn take_cases(&self, cases: &[SharedCrashRecord]) {
         self.state.adopt_cases(cases);
     }
 
--- a/crates/coursestand-daemon/src/fleet/edge_service.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_service.rs
@@ -322,8 +322,8 @@
                     "backoff_left_ms": backend.backoff_left_ms(now),
                     "rate_limit": backend.limit().map(|limit| json!({
                         "per_second": limit.rate().as_per_second(),
-                        "named_ms_ago": now.saturating_sub(limit.named_at()),
-                        "named_to_this_daemon": limit.is_own(),
+                        "named_ms_ago": now.saturating_sub(limit.reported_at()),
+                        "named_to_this_daemon": limit.is_first_hand(),
                         "denied_ms": limit.denied_ms(now),
                     })),
                 })
--- a/crates/coursestand-daemon/src/fleet/hub/cases.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/cases.rs
@@ -5,9 +5,9 @@
 use std::sync::{MutexGuard, PoisonError};
 
 use coursestand_model::Millis;
-use coursestand_routing::fatal_requests::CaseView;
+use coursestand_routing::fatal_requests::CrashRecordView;
 use coursestand_routing::hash::hash_of;
-use coursestand_routing::{FatalRequests, SharedCase, SharedFinding, TrialVerdict};
+use coursestand_routing::{FatalRequests, SharedCrashRecord, SharedFinding, TrialVerdict};
 use log::info;
 
 use super::{Hub, LOG};
@@ -63,7 +63,7 @@
         {
             let mut cases = self.cases();
             for finding in &findings {
-                cases.fatal.take(now, finding);
+                cases.fatal.apply_finding(now, finding);
             }
         }
         let message = ToEdge::Findings(findings);
@@ -76,19 +76,19 @@
     }
 
     /// The cases, for the dump.
-    pub fn case_views(&self) -> Vec<CaseView> {
+    pub fn case_views(&self) -> Vec<CrashRecordView> {
         self.cases().fatal.views(self.clock.now())
     }
 
     /// What a daemon has to know that connects.
-    pub fn told_cases(&self) -> Vec<SharedCase> {
-        self.cases().fatal.told(self.clock.now())
+    pub fn told_cases(&self) -> Vec<SharedCrashRecord> {
+        self.cases().fatal.snapshot(self.clock.now())
     }
 
     /// Takes in what the entry daemon with this queue knows, and passes on what is news.
-    pub fn take_cases(&self, from: u64, told: &[SharedCase]) {
+    pub fn take_cases(&self, from: u64, told: &[SharedCrashRecord]) {
         let now = self.clock.now();
-        let news: Vec<SharedCase> = {
+        let news: Vec<SharedCrashRecord> = {
             let fatal = &mut self.cases().fatal;
             let told = told.iter();
             let news = told.filter(|case| !fatal.merge(now, case).is_empty());
@@ -105,7 +105,7 @@
     pub fn answer_trial(
         &self,
         from: u64,
-        case: &SharedCase,
+        case: &SharedCrashRecord,
         term: Option<u64>,
     ) -> Option<TrialVerdict> {
         let now = self.clock.now();
@@ -125,7 +125,7 @@
         Some(verdict)
     }
 
-    fn pass_cases(&self, from: u64, cases: Vec<SharedCase>) {
+    fn pass_cases(&self, from: u64, cases: Vec<SharedCrashRecord>) {
         if !cases.is_empty() {
             let message = ToEdge::Cases(cases);
             self.pass_to_others(from, &message, |follower| follower.reads.cases);
--- a/crates/coursestand-daemon/src/fleet/hub/limits.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/limits.rs
@@ -6,7 +6,7 @@
 
 use coursestand_model::Millis;
 use coursestand_routing::rate_limit::{BucketView, TokenIssuer, TokenRequest, TokenVerdict};
-use coursestand_routing::{LimitNews, Rate};
+use coursestand_routing::{Rate, RateLimitUpdate};
 
 use super::Hub;
 use crate::fleet::wire::ToEdge;
@@ -35,10 +35,10 @@
 
 impl LimitDesk {
     /// Takes in what a daemon tells. Returns whether other daemons are to hear it.
-    fn take(&mut self, now: Millis, news: &LimitNews) -> bool {
+    fn take(&mut self, now: Millis, news: &RateLimitUpdate) -> bool {
         let named_at = now.saturating_sub(news.age_ms);
         self.issuer
-            .take_news(now, news.backend, news.rate, named_at);
+            .apply_update(now, news.backend, news.rate, named_at);
         let Some(rate) = news.rate else {
             self.forget(news.backend, named_at);
             return false;
@@ -76,10 +76,10 @@
     }
 
     /// What a daemon that connects has to know.
-    fn told(&self, now: Millis) -> Vec<LimitNews> {
+    fn told(&self, now: Millis) -> Vec<RateLimitUpdate> {
         let reports = self.reports.iter();
         let told = reports.flat_map(|(backend, reports)| {
-            reports.iter().map(|report| LimitNews {
+            reports.iter().map(|report| RateLimitUpdate {
                 reporter: report.reporter,
                 backend: *backend,
                 rate: Some(report.rate),
@@ -94,7 +94,7 @@
     fn ask(&mut self, now: Millis, request: &TokenRequest, term: u64) -> TokenVerdict {
         if self.term != Some(term) {
             self.term = Some(term);
-            self.issuer.begin(now);
+            self.issuer.empty_buckets(now);
         }
         self.issuer.ask(now, request)
     }
@@ -107,7 +107,7 @@
 
     /// Takes in what the entry daemon with this queue was told of rate limits, and passes on
     /// what others need to hear.
-    pub fn take_limits(&self, from: u64, mut told: Vec<LimitNews>) {
+    pub fn take_limits(&self, from: u64, mut told: Vec<RateLimitUpdate>) {
         let now = self.clock.now();
         {
             let mut limits = self.limits();
@@ -120,7 +120,7 @@
     }
 
     /// The limits, for an entry daemon that connects.
-    pub fn told_limits(&self) -> Vec<LimitNews> {
+    pub fn told_limits(&self) -> Vec<RateLimitUpdate> {
         self.limits().told(self.clock.now())
     }
 
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -8,7 +8,7 @@
 use coursestand_coordination::Command;
 use coursestand_discovery::EdgeRecord;
 use coursestand_kernel::Tasks;
-use coursestand_routing::SharedCase;
+use coursestand_routing::SharedCrashRecord;
 use coursestand_routing::rate_limit::TokenRequest;
 use coursestand_transport::TransportError;
 use coursestand_transport::stream::{self, Receiver, Sender, StreamError};
@@ -424,7 +424,7 @@
     /// decides for all.
     async fn answer_trial(
         &mut self,
-        case: SharedCase,
+        case: SharedCrashRecord,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
         for case in self.cases.take(vec![case]) {
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -8,7 +8,7 @@
 use coursestand_discovery::{EdgeRecord, InstanceNews, LinkUse};
 use coursestand_model::{BackendId, Millis};
 use coursestand_routing::rate_limit::{TokenRequest, TokenVerdict};
-use coursestand_routing::{LimitNews, SharedCase, SharedFinding, TrialVerdict};
+use coursestand_routing::{RateLimitUpdate, SharedCrashRecord, SharedFinding, TrialVerdict};
 use serde::{Deserialize, Deserializer, Serialize};
 
 use crate::control::shared::LogReach;
@@ -58,13 +58,13 @@
     Findings(Vec<SharedFinding>),
     /// What the entry daemon knows of requests under which back ends ended. Only sent to a
     /// control process that has sent such a message itself, like what follows.
-    Cases(Vec<SharedCase>),
+    Cases(Vec<SharedCrashRecord>),
     /// The entry daemon wants to try such a request, of which it knows this. Only a control
     /// process that leads answers.
-    AskForTrial(SharedCase),
+    AskForTrial(SharedCrashRecord),
     /// What back ends named the entry daemon as their rate limits. Only sent to a control
     /// process that has sent such a message itself, like what follows.
-    Limits(Vec<LimitNews>),
+    Limits(Vec<RateLimitUpdate>),
     /// The entry daemon wants to send a request to a rate-limited back end. Only a control
     /// process that leads answers.
     AskForToken {
@@ -271,12 +271,12 @@
     Findings(Vec<SharedFinding>),
     /// What is known of requests under which back ends ended. On a new connection it comes
     /// before the catalog, so that no request is served without it.
-    Cases(Vec<SharedCase>),
+    Cases(Vec<SharedCrashRecord>),
     /// Answer to a daemon that wants to try such a request.
     Trial(TrialVerdict),
     /// What back ends named other entry daemons as their rate limits. On a new connection it
     /// follows the back ends.
-    Limits(Vec<LimitNews>),
+    Limits(Vec<RateLimitUpdate>),
     /// Answer to a daemon that wants to send a request to a rate-limited back end.
     Token {
         /// Number of the question.
--- a/crates/coursestand-proxy/src/edge_state.rs
+++ b/crates/coursestand-proxy/src/edge_state.rs
@@ -10,15 +10,15 @@
 use coursestand_kernel::MonotonicClock;
 use coursestand_model::{Millis, ServiceId, ZoneId};
 use coursestand_routing::cold::OwnerViews;
-use coursestand_routing::fatal_requests::CaseNews;
+use coursestand_routing::fatal_requests::CrashRecordUpdate;
 use coursestand_routing::findings::BackendReports;
 use coursestand_routing::hash::hash_of;
 use coursestand_routing::picker::Place;
 use coursestand_routing::rate_limit::TokenVerdict;
 use coursestand_routing::split::SplitState;
 use coursestand_routing::{
-    Backends, FatalRequests, Finding, Fingerprint, LimitNews, Picker, Rate, RetryAllowance,
-    RetryBudget, RetryLimits, RouteTable, SharedCase, SharedFinding, TrialVerdict,
+    Backends, FatalRequests, Finding, Fingerprint, Picker, Rate, RateLimitUpdate, RetryAllowance,
+    RetryBudget, RetryLimits, RouteTable, SharedCrashRecord, SharedFinding, TrialVerdict,
 };
 use tokio::sync::{broadcast, oneshot};
 
@@ -191,20 +191,20 @@
     pub fn adopt_finding(&self, shared: &SharedFinding) {
         let now = self.now();
         let mut beliefs = self.beliefs();
-        if shared.reporter != beliefs.fatal.own() {
+        if shared.reporter != beliefs.fatal.own_hash() {
             beliefs.hear_of_back_end(now, shared);
         }
         if let Finding::Ended { backend, .. } = shared.finding {
             let budgets = beliefs.budgets.values_mut();
             budgets.for_each(|budget| budget.unsettled().forget(backend));
         }
-        let changes = beliefs.fatal.take(now, shared);
+        let changes = beliefs.fatal.apply_finding(now, shared);
         drop(beliefs);
         tell_news(changes, Some(shared));
     }
 
     /// Takes in what a control process knows of requests under which back ends ended.
-    pub fn adopt_cases(&self, cases: &[SharedCase]) {
+    pub fn adopt_cases(&self, cases: &[SharedCrashRecord]) {
         let now = self.now();
         for case in cases {
             let changes = self.beliefs().fatal.merge(now, case);
@@ -213,8 +213,8 @@
     }
 
     /// What this daemon knows of such requests, for a control process.
-    pub fn told_cases(&self) -> Vec<SharedCase> {
-        self.beliefs().fatal.told(self.now())
+    pub fn told_cases(&self) -> Vec<SharedCrashRecord> {
+        self.beliefs().fatal.snapshot(self.now())
     }
 
     /// Asks control for leave to try a request; what is returned ends with the answer.
@@ -233,7 +233,7 @@
                 log::info!(target: LOG, fingerprint = request.0, convictions = case.convictions;
                     "a request may be tried once");
                 self.adopt_cases(std::slice::from_ref(&case));
-                self.beliefs().fatal.permit(now, request);
+                self.beliefs().fatal.grant_permit(now, request);
                 // A control process that leads next knows of the trial by this.
                 self.trials.tell(case);
                 request
@@ -267,17 +267,17 @@
     }
 
     /// The rate limits that back ends named to this daemon, for a control process.
-    pub fn told_limits(&self) -> Vec<LimitNews> {
+    pub fn told_limits(&self) -> Vec<RateLimitUpdate> {
         let now = self.now();
         let beliefs = self.beliefs();
-        let own = beliefs.fatal.own();
+        let own = beliefs.fatal.own_hash();
         let limited = beliefs.backends.iter().filter_map(|backend| {
-            let limit = backend.limit().filter(|limit| limit.is_own())?;
-            Some(LimitNews {
+            let limit = backend.limit().filter(|limit| limit.is_first_hand())?;
+            Some(RateLimitUpdate {
                 reporter: own,
                 backend: backend.memory,
                 rate: Some(limit.rate()),
-                age_ms: now.saturating_sub(limit.named_at()),
+                age_ms: now.saturating_sub(limit.reported_at()),
             })
         });
         limited.collect()
@@ -285,8 +285,8 @@
 
     /// A back end named this limit to this daemon, or none any more.
     pub fn tell_limit(&self, backend: u64, rate: Option<Rate>) {
-        self.tokens.tell(LimitNews {
-            reporter: self.beliefs().fatal.own(),
+        self.tokens.tell(RateLimitUpdate {
+            reporter: self.beliefs().fatal.own_hash(),
             backend,
             rate,
             age_ms: 0,
@@ -295,10 +295,10 @@
 
     /// Takes in what other daemons were told of rate limits. A limit that one daemon tells
     /// alone is not believed.
-    pub fn adopt_limits(&self, news: &[LimitNews]) {
+    pub fn adopt_limits(&self, news: &[RateLimitUpdate]) {
         let now = self.now();
         let mut beliefs = self.beliefs();
-        let own = beliefs.fatal.own();
+        let own = beliefs.fatal.own_hash();
         for one in news.iter().filter(|one| one.reporter != own) {
             let Some(rate) = one.rate else {
                 beliefs.limit_reports.forget(one.backend);
@@ -326,7 +326,7 @@
         let Some(answered) = self.tokens.answered(from, number) else {
             return;
         };
-        let asked_at = answered.asked.asked_at;
+        let asked_at = answered.asked.sent_at;
         let request = &answered.asked.request;
         let backend = request.backend;
         match verdict {
@@ -357,7 +357,7 @@
     pub fn share(&self, finding: Finding) {
         let shared = SharedFinding {
             number: rand::random(),
-            reporter: self.beliefs().fatal.own(),
+            reporter: self.beliefs().fatal.own_hash(),
             finding,
         };
         self.adopt_finding(&shared);
@@ -400,15 +400,15 @@
 }
 
 /// Logs what changed, by a finding of a daemon or by what control told.
-fn tell_news(changes: Vec<CaseNews>, by: Option<&SharedFinding>) {
+fn tell_news(changes: Vec<CrashRecordUpdate>, by: Option<&SharedFinding>) {
     for change in changes {
         match change {
-            CaseNews::Witness(case) => {
+            CrashRecordUpdate::Crash(case) => {
                 log::info!(target: LOG, fingerprint = case.request.0, ends = case.ends,
                     convictions = case.convictions, reporter = by.map(|by| by.reporter),
                     finding = by.map(|by| by.number); "a back end ended under a request")
             }
-            CaseNews::Convicted {
+            CrashRecordUpdate::Quarantined {
                 request,
                 ends,
                 lasts_ms,
@@ -416,8 +416,10 @@
                 log::warn!(target: LOG, fingerprint = request.0, ends = ends, lasts_ms = lasts_ms;
                     "a request is rejected: back ends ended under it")
             }
-            CaseNews::Cleared { request } => log::info!(target: LOG, fingerprint = request.0;
-                "a request is no longer rejected: it was answered"),
+            CrashRecordUpdate::Cleared { request } => {
+                log::info!(target: LOG, fingerprint = request.0;
+                "a request is no longer rejected: it was answered")
+            }
         }
     }
 }
--- a/crates/coursestand-proxy/src/exchange/attempt.rs
+++ b/crates/coursestand-proxy/src/exchange/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coursestand_routing::{BackendReport, RateWord};
+use coursestand_routing::{BackendReport, RateLimitSignal};
 use http::header::{CONTENT_LENGTH, HeaderValue};
 use http::{Request, Response};
 use http_body_util::{Either, Full};
@@ -138,7 +138,7 @@
         if report.drains {
             counters.with_label_values(&["draining"]).inc();
         }
-        if matches!(report.rate, RateWord::Limited(_)) {
+        if matches!(report.rate, RateLimitSignal::Limited(_)) {
             counters.with_label_values(&["rate-limit"]).inc();
         }
     }
--- a/crates/coursestand-proxy/src/router.rs
+++ b/crates/coursestand-proxy/src/router.rs
@@ -7,11 +7,13 @@
 use coursestand_routing::hash::{combine, hash_of};
 use coursestand_routing::picker::Asked;
 use coursestand_routing::rate_limit::{
-    AccessBy, LimitChange, OwnPart, RateWord, Reading, TOKEN_LIFETIME_MS, TokenRequest,
+    AccessMode, FallbackShare, LimitChange, RateLimitSignal, Reading, TOKEN_LIFETIME_MS,
+    TokenRequest,
 };
 use coursestand_routing::split::SplitState;
 use coursestand_routing::{
-    Backend, BackendReport, Finding, Fingerprint, Held, LimitAccess, Pick, PickRequest, Refusal,
+    Backend, BackendReport, Finding, Fingerprint, LimitAccess, Pick, PickRequest, Refusal,
+    WithholdReason,
 };
 
 use coursestand_model::Millis;
@@ -83,16 +85,16 @@
             return LimitAccess::default();
         }
         let daemons = beliefs.allowance.daemons(now);
-        let own_part = OwnPart {
-            daemon: beliefs.fatal.own(),
+        let fallback_share = FallbackShare {
+            daemon: beliefs.fatal.own_hash(),
             daemons,
         };
         let is_alone = !self.issues_tokens(beliefs, now);
-        let by = AccessBy::Sending {
+        let mode = AccessMode::Send {
             token: attempts.token,
-            own_part: is_alone.then_some(own_part),
+            fallback_share: is_alone.then_some(fallback_share),
         };
-        LimitAccess { daemons, by }
+        LimitAccess { daemons, mode }
     }
 
     /// The back end's answer says something of its rate limit.
@@ -103,7 +105,7 @@
             return;
         }
         let reading = Reading {
-            word: report.rate,
+            signal: report.rate,
             sent_at: target.chosen_at,
             is_whole,
         };
@@ -195,10 +197,10 @@
         beliefs.fatal.may_run(now, fingerprint, is_owner)
     };
     may_go.map_err(|held| match held {
-        Held::Suspected { again_in_ms } | Held::NeedsTrial { again_in_ms } => {
+        WithholdReason::Suspected { again_in_ms } | WithholdReason::NeedsTrial { again_in_ms } => {
             Reason::Suspected { again_in_ms }
         }
-        Held::Convicted { again_in_ms } => Reason::Convicted { again_in_ms },
+        WithholdReason::Quarantined { again_in_ms } => Reason::Convicted { again_in_ms },
     })
 }
 
@@ -309,7 +311,7 @@
             beliefs.fatal.may_run(now, request, false)
         };
         match held {
-            Err(Held::NeedsTrial { .. }) => self.state.ask_for_trial(request),
+            Err(WithholdReason::NeedsTrial { .. }) => self.state.ask_for_trial(request),
             _ => None,
         }
     }
@@ -328,15 +330,15 @@
         }
         let priority = matched.route.route.priority;
         let daemons = beliefs.allowance.daemons(now);
-        let by = AccessBy::Asking { priority };
-        let access = LimitAccess { daemons, by };
+        let mode = AccessMode::RequestToken { priority };
+        let access = LimitAccess { daemons, mode };
         let pick = self.pick(beliefs, now, matched, attempts, access).ok()?;
         let backend = beliefs.backends.get(&pick.id)?;
         let limit = backend.limit().filter(|limit| !limit.is_divided(daemons))?;
         let request = TokenRequest {
             backend: backend.memory,
             rate: limit.rate(),
-            age_ms: now.saturating_sub(limit.named_at()),
+            age_ms: now.saturating_sub(limit.reported_at()),
             priority,
         };
         drop(guard);
@@ -379,7 +381,7 @@
         let mut is_trial = false;
         if let Some(fingerprint) = matched.fingerprint {
             beliefs.fatal.start(fingerprint);
-            is_trial = beliefs.fatal.use_permit(now, fingerprint);
+            is_trial = beliefs.fatal.take_permit(now, fingerprint);
         }
         let target = Target {
             asked: Asked {
@@ -408,7 +410,10 @@
         let now = self.state.now();
         let beliefs = self.state.beliefs();
         let is_held = target.fingerprint.is_some_and(|request| {
-            !target.is_trial && beliefs.fatal.is_held_since(now, request, target.chosen_at)
+            !target.is_trial
+                && beliefs
+                    .fatal
+                    .is_withheld_since(now, request, target.chosen_at)
         });
         let backend = beliefs.backends.get(target.id());
         backend.is_some_and(|backend| {
@@ -422,7 +427,7 @@
     }
 
     fn told(&self, target: &Target, report: &BackendReport) {
-        if matches!(report.rate, RateWord::Limited(_)) {
+        if matches!(report.rate, RateLimitSignal::Limited(_)) {
             self.note_rate(self.state.now(), target, report, false);
         }
         if report.backoff_ms.is_none() && !report.drains {
@@ -511,7 +516,7 @@
             && target.is_trial
             && failure.did_not_run()
         {
-            beliefs.fatal.permit(now, request);
+            beliefs.fatal.grant_permit(now, request);
         }
         if !is_current(&beliefs, target) {
             return;
--- a/crates/coursestand-proxy/src/tokens.rs
+++ b/crates/coursestand-proxy/src/tokens.rs
@@ -6,9 +6,10 @@
 
 use coursestand_model::Millis;
 use coursestand_routing::rate_limit::{
-    AskedToken, Asking, TOKEN_LIFETIME_MS, TokenAsks, TokenRequest, TokenVerdict,
+    OutstandingTokenRequests, SentTokenRequest, TOKEN_LIFETIME_MS, TokenRequest, TokenRequestMode,
+    TokenVerdict,
 };
-use coursestand_routing::{LimitNews, Rate, SendToken};
+use coursestand_routing::{Rate, RateLimitUpdate, SendToken};
 use tokio::sync::{broadcast, oneshot};
 
 /// Notes that wait for a slow connection to control; further ones replace the oldest.
@@ -17,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitNote {
     /// A back end named a limit, or no longer does.
-    News(LimitNews),
+    News(RateLimitUpdate),
     /// It wants a token.
     Token {
         /// The control process that answers, if one has lately; otherwise all are asked.
@@ -58,7 +59,7 @@
 
 /// A request that control has answered.
 pub(crate) struct Answered {
-    pub(crate) asked: AskedToken,
+    pub(crate) asked: SentTokenRequest,
     waits: Option<oneshot::Sender<TokenAnswer>>,
 }
 
@@ -74,7 +75,7 @@
 
 #[derive(Default)]
 struct Desk {
-    asks: TokenAsks,
+    asks: OutstandingTokenRequests,
     waits: HashMap<u64, oneshot::Sender<TokenAnswer>>,
     /// The control process that answered last.
     issuer: Option<SocketAddr>,
@@ -116,17 +117,17 @@
         let asking = desk.asks.ask(now, request.clone());
         desk.waits.retain(|_, waits| !waits.is_closed());
         let (number, answer) = match asking {
-            Asking::Wait(number) => {
+            TokenRequestMode::Await(number) => {
                 let (waits, answer) = oneshot::channel();
                 desk.waits.insert(number, waits);
                 (number, Some(answer))
             }
-            Asking::Probe(number) => {
+            TokenRequestMode::Probe(number) => {
                 // Another process may lead.
                 desk.issuer = None;
                 (number, None)
             }
-            Asking::No => return None,
+            TokenRequestMode::Skip => return None,
         };
         let to = desk.issuer;
         drop(desk);
@@ -150,7 +151,7 @@
     }
 
     /// Tells control what a back end named.
-    pub fn tell(&self, news: LimitNews) {
+    pub fn tell(&self, news: RateLimitUpdate) {
         // Without a connection to control there is nobody to tell.
         let _ = self.notes.send(LimitNote::News(news));
     }
@@ -162,11 +163,11 @@
 }
 
 /// What a verdict on `asked` means for whoever waits.
-pub(crate) fn answer_of(verdict: &TokenVerdict, asked: &AskedToken) -> TokenAnswer {
+pub(crate) fn answer_of(verdict: &TokenVerdict, asked: &SentTokenRequest) -> TokenAnswer {
     match verdict {
         TokenVerdict::Issued => TokenAnswer::Issued(SendToken {
             backend: asked.request.backend,
-            valid_until: asked.asked_at + TOKEN_LIFETIME_MS,
+            valid_until: asked.sent_at + TOKEN_LIFETIME_MS,
         }),
         TokenVerdict::Denied { again_in_ms, rate } => TokenAnswer::Denied {
             again_in_ms: *again_in_ms,
--- a/crates/coursestand-proxy/src/told.rs
+++ b/crates/coursestand-proxy/src/told.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coursestand_routing::backends::{BackendReport, LoadReport};
-use coursestand_routing::rate_limit::{Rate, RateWord};
+use coursestand_routing::rate_limit::{Rate, RateLimitSignal};
 use http::header::{HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 
@@ -61,13 +61,15 @@
 /// What the answer says of the back end's rate limit: the lowest that it names. One that
 /// names none tells that there is none, unless it is a failure: that need not come from where
 /// the limit is kept.
-fn rate_of(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> RateWord {
+fn rate_of(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> RateLimitSignal {
     let named = headers.get_all(&names.rate_limit);
     let rates = named.iter().filter_map(decimal_of).map(Rate::per_second);
     match rates.min() {
-        Some(rate) => RateWord::Limited(rate),
-        None if named.iter().next().is_some() || status.is_server_error() => RateWord::Untold,
-        None => RateWord::Unlimited,
+        Some(rate) => RateLimitSignal::Limited(rate),
+        None if named.iter().next().is_some() || status.is_server_error() => {
+            RateLimitSignal::NotReported
+        }
+        None => RateLimitSignal::Unlimited,
     }
 }
 
--- a/crates/coursestand-proxy/src/trials.rs
+++ b/crates/coursestand-proxy/src/trials.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use coursestand_model::Millis;
-use coursestand_routing::{Fingerprint, SharedCase};
+use coursestand_routing::{Fingerprint, SharedCrashRecord};
 use tokio::sync::{broadcast, oneshot};
 
 /// Cases that wait for a slow connection to control; further ones replace the oldest.
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CaseNote {
     /// It wants to try the request.
-    Trial(SharedCase),
+    Trial(SharedCrashRecord),
     /// What it knows.
-    Known(SharedCase),
+    Known(SharedCrashRecord),
 }
 
 struct Asked {
@@ -48,7 +48,7 @@
 
     /// Asks control for a trial; what is returned ends with its answer. One request waits
     /// for it at a time.
-    pub fn ask(&self, now: Millis, case: SharedCase) -> Option<oneshot::Receiver<()>> {
+    pub fn ask(&self, now: Millis, case: SharedCrashRecord) -> Option<oneshot::Receiver<()>> {
         let mut asked = self.asked();
         asked.retain(|_, one| now.saturating_sub(one.at) < ASKED_MS && !one.waits.is_closed());
         if asked.contains_key(&case.request) {
@@ -71,7 +71,7 @@
     }
 
     /// Tells control a case.
-    pub fn tell(&self, case: SharedCase) {
+    pub fn tell(&self, case: SharedCrashRecord) {
         // Without a connection to control there is nobody to tell.
         let _ = self.notes.send(CaseNote::Known(case));
     }
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -25,7 +25,9 @@
 };
 use coursestand_proxy::retry::RetryVerdict;
 use coursestand_proxy::router::Router;
-use coursestand_routing::{BackendReport, Finding, Fingerprint, Rate, RateWord, SharedFinding};
+use coursestand_routing::{
+    BackendReport, Finding, Fingerprint, Rate, RateLimitSignal, SharedFinding,
+};
 use googletest::prelude::*;
 use tokio::sync::oneshot;
 
@@ -259,7 +261,7 @@
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_sent_once_a_rate_limit_is_named() {
     let naming = BackendReport {
-        rate: RateWord::Limited(Rate::per_second(0.2)),
+        rate: RateLimitSignal::Limited(Rate::per_second(0.2)),
         ..BackendReport::default()
     };
     let meanwhile = move |router: &Router, target: &Target| router.told(target, &naming);
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -14,7 +14,7 @@
 use coursestand_proxy::EdgeState;
 use coursestand_proxy::tokens::LimitNote;
 use coursestand_routing::rate_limit::TokenIssuer;
-use coursestand_routing::{LimitNews, Rate};
+use coursestand_routing::{Rate, RateLimitUpdate};
 use googletest::prelude::*;
 use tokio::task::JoinHandle;
 
@@ -40,7 +40,7 @@
             match note {
                 LimitNote::News(news) => {
                     let named_at = now.saturating_sub(news.age_ms);
-                    issuer.take_news(now, news.backend, news.rate, named_at);
+                    issuer.apply_update(now, news.backend, news.rate, named_at);
                 }
                 LimitNote::Token {
                     number, request, ..
@@ -148,7 +148,7 @@
     let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
     let state = &edge.state;
     let backend = state.beliefs().backends.iter().next().map(|one| one.memory);
-    let news = |reporter| LimitNews {
+    let news = |reporter| RateLimitUpdate {
         reporter,
         backend: backend.expect("a back end"),
         rate: Some(Rate::per_second(5.0)),
--- a/crates/coursestand-proxy/tests/untrusted_figures.rs
+++ b/crates/coursestand-proxy/tests/untrusted_figures.rs
@@ -8,7 +8,7 @@
 use coursestand_proxy::caller_limits::CallerLimits;
 use coursestand_proxy::headers::keep_alive_of;
 use coursestand_proxy::told::Told;
-use coursestand_routing::{Rate, RateWord};
+use coursestand_routing::{Rate, RateLimitSignal};
 use googletest::prelude::*;
 use http::header::HeaderValue;
 use http::{HeaderMap, StatusCode};
@@ -123,7 +123,7 @@
         ("1.", 1.0),
     ] {
         let rate = Rate::per_second(per_second);
-        expect_that!(named(text), eq(RateWord::Limited(rate)), "{text}");
+        expect_that!(named(text), eq(RateLimitSignal::Limited(rate)), "{text}");
     }
     for text in [
         "",
@@ -137,11 +137,11 @@
         ".",
         "1.2.3",
     ] {
-        expect_that!(named(text), eq(RateWord::Untold), "{text}");
+        expect_that!(named(text), eq(RateLimitSignal::NotReported), "{text}");
     }
     let digits: &'static str = "9".repeat(400).leak();
     let highest = Rate::per_second(f64::INFINITY);
-    expect_that!(named(digits), eq(RateWord::Limited(highest)));
+    expect_that!(named(digits), eq(RateLimitSignal::Limited(highest)));
 }
 
 /// Guards against a limit that is lifted by a header which can't be read, or by a failure.
@@ -152,20 +152,20 @@
         ("x-rate-limit", "7"),
         ("x-rate-limit", "3"),
     ];
-    let lowest = RateWord::Limited(Rate::per_second(3.0));
+    let lowest = RateLimitSignal::Limited(Rate::per_second(3.0));
     expect_that!(told(200, &lines).report.rate, eq(lowest));
     expect_that!(told(503, &lines).report.rate, eq(lowest));
     for status in [200, 204, 404] {
         expect_that!(
             told(status, &[]).report.rate,
-            eq(RateWord::Unlimited),
+            eq(RateLimitSignal::Unlimited),
             "{status}"
         );
     }
     for status in [500, 503, 504] {
         expect_that!(
             told(status, &[]).report.rate,
-            eq(RateWord::Untold),
+            eq(RateLimitSignal::NotReported),
             "{status}"
         );
     }
--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -9,7 +9,7 @@
 
 use crate::backoff::Backoff;
 use crate::hash::{combine, hash_of};
-use crate::rate_limit::{KnownLimit, LimitAccess, LimitChange, Rate, RateWord, Reading};
+use crate::rate_limit::{KnownLimit, LimitAccess, LimitChange, Rate, RateLimitSignal, Reading};
 
 /// First time for which a back end that refuses connections is left out.
 const FIRST_EJECTION_MS: Millis = 500;
@@ -37,7 +37,7 @@
     /// Whether it drains: it takes no new requests and ends soon.
     pub drains: bool,
     /// The rate that it takes from all daemons together.
-    pub rate: RateWord,
+    pub rate: RateLimitSignal,
 }
 
 /// Time constant with which the usual load follows the reports.
@@ -389,7 +389,7 @@
         id: &BackendId,
         reading: Reading,
     ) -> Option<LimitChange> {
-        self.change_limit(id, |limit| KnownLimit::read(limit, now, reading))
+        self.change_limit(id, |limit| KnownLimit::apply_reading(limit, now, reading))
     }
 
     /// Other daemons were told this limit of the incarnation with this `memory`, at
@@ -401,13 +401,17 @@
         rate: Rate,
     ) -> Option<LimitChange> {
         let id = self.find(memory)?.instance.id.clone();
-        self.change_limit(&id, |limit| KnownLimit::hear(limit, named_at, rate))
+        self.change_limit(&id, |limit| {
+            KnownLimit::apply_reported(limit, named_at, rate)
+        })
     }
 
     /// The incarnation with this `memory` named no limit to another daemon at `lifted_at`.
     pub fn note_lifted_elsewhere(&mut self, lifted_at: Millis, memory: u64) -> Option<LimitChange> {
         let id = self.find(memory)?.instance.id.clone();
-        self.change_limit(&id, |limit| KnownLimit::hear_lifted(limit, lifted_at))
+        self.change_limit(&id, |limit| {
+            KnownLimit::apply_reported_lift(limit, lifted_at)
+        })
     }
 
     /// Control denied a token for the incarnation with this `memory`; see
@@ -434,9 +438,9 @@
             return;
         };
         if limit.is_divided(daemons) {
-            limit.note_part_used(now, daemons);
+            limit.note_divided_share_used(now, daemons);
         } else {
-            limit.note_own_turn(now);
+            limit.note_fallback_turn(now);
         }
     }
 
--- a/crates/coursestand-routing/src/fatal_requests/answers.rs
+++ b/crates/coursestand-routing/src/fatal_requests/answers.rs
@@ -1,4 +1,4 @@
-//! How often requests were answered of late.
+//! Counts of recent answers by request.
 
 use std::num::NonZeroUsize;
 
@@ -7,64 +7,63 @@
 
 use super::Fingerprint;
 
-/// Answers of one daemon to one request within the window, from which on it counts as
-/// answered often.
-const USUAL_ANSWERS: u32 = 3;
-/// That window.
-const USUAL_WINDOW_MS: Millis = 10_000;
-/// Requests of which answers are counted; each takes about 64 bytes.
-const ANSWERS_REMEMBERED: NonZeroUsize = NonZeroUsize::new(2_048).unwrap();
+/// Answers by this daemon to one request within a window from which the request counts as
+/// frequently answered.
+const MIN_FREQUENT_ANSWERS: u32 = 3;
+const ANSWER_WINDOW_MS: Millis = 10_000;
+/// Requests whose answers are counted; each takes about 64 bytes.
+const MAX_TRACKED_REQUESTS: NonZeroUsize = NonZeroUsize::new(2_048).unwrap();
 
-/// Answers to one request within the window that runs and the one before.
+/// Answers to one request in the current window and the one before.
 #[derive(Clone, Copy, Debug, Default)]
-struct Answers {
-    since: Millis,
+struct AnswerCount {
+    window_started_at: Millis,
     count: u32,
-    before: u32,
+    previous: u32,
 }
 
-impl Answers {
-    fn note(&mut self, now: Millis) {
-        let age = now.saturating_sub(self.since);
-        if age > USUAL_WINDOW_MS {
-            let is_next = age <= 2 * USUAL_WINDOW_MS;
-            self.before = if is_next { self.count } else { 0 };
+impl AnswerCount {
+    fn record(&mut self, now: Millis) {
+        let age = now.saturating_sub(self.window_started_at);
+        if age > ANSWER_WINDOW_MS {
+            let is_next = age <= 2 * ANSWER_WINDOW_MS;
+            self.previous = if is_next { self.count } else { 0 };
             self.count = 0;
-            self.since = now;
+            self.window_started_at = now;
         }
         self.count = self.count.saturating_add(1);
     }
 
-    fn of_late(&self, now: Millis) -> u32 {
-        match now.saturating_sub(self.since) {
-            age if age <= USUAL_WINDOW_MS => self.before.max(self.count),
-            age if age <= 2 * USUAL_WINDOW_MS => self.count,
+    fn recent(&self, now: Millis) -> u32 {
+        match now.saturating_sub(self.window_started_at) {
+            age if age <= ANSWER_WINDOW_MS => self.previous.max(self.count),
+            age if age <= 2 * ANSWER_WINDOW_MS => self.count,
             _ => 0,
         }
     }
 }
 
-/// Answers of this daemon, by request; the least recent are forgotten.
+/// Answers by this daemon, by request; the least recently answered requests are evicted.
 #[derive(Clone, Debug)]
-pub(super) struct RecentAnswers(LruCache<Fingerprint, Answers>);
+pub(super) struct RecentAnswers(LruCache<Fingerprint, AnswerCount>);
 
 impl Default for RecentAnswers {
     fn default() -> RecentAnswers {
-        RecentAnswers(LruCache::new(ANSWERS_REMEMBERED))
+        RecentAnswers(LruCache::new(MAX_TRACKED_REQUESTS))
     }
 }
 
 impl RecentAnswers {
-    /// A request was answered.
-    pub(super) fn note(&mut self, now: Millis, request: Fingerprint) {
-        let answers = self.0.get_or_insert_mut(request, Answers::default);
-        answers.note(now);
+    /// Counts an answer to the request.
+    pub(super) fn record(&mut self, now: Millis, request: Fingerprint) {
+        let answers = self.0.get_or_insert_mut(request, AnswerCount::default);
+        answers.record(now);
     }
 
-    /// Whether the request was answered several times of late: it is then under way
-    /// at most ends, and one tells nothing.
-    pub(super) fn is_usual(&self, now: Millis, request: Fingerprint) -> bool {
+    /// Returns whether the request was answered several times recently. Such a request is in
+    /// flight at most crashes, so that a single crash is no evidence against it.
+    pub(super) fn is_frequent(&self, now: Millis, request: Fingerprint) -> bool {
         let answers = self.0.peek(&request);
-        answers.is_some_and(|answers| answers.of_late(now) >= USUAL_ANSWERS)
+        answers.is_some_and(|answers| answers.recent(now) >= MIN_FREQUENT_ANSWERS)
     }
 }
--- a/crates/coursestand-routing/src/fatal_requests/mod.rs
+++ b/crates/coursestand-routing/src/fatal_requests/mod.rs
@@ -1,24 +1,25 @@
-//! Requests that end the back ends which run them ("queries of death"): suspicion and
-//! conviction by evidence, shared by all processes of the system.
+//! Requests that crash the back ends which run them ("queries of death"): crash records and
+//! quarantine, shared by all processes of the system.
 //!
-//! A back end that ends makes witnesses of the requests that were under way there. A
-//! request that is witness to the ends of several incarnations, and never to an answer in
-//! between, is convicted and rejected for a time. Three things speak for the innocent:
-//! - An answer, by any daemon, to a run that began after the first end closes the case. An
-//!   object that is often asked for is under way at every end, and is answered as often.
-//! - Ends that are seen within a moment may have a cause in common (a rack, a zone): the
-//!   ends of a case must lie further apart than it takes daemons to learn of one.
-//! - The ends that convict one request are explained, and count against no other any more.
-//!   Of several that are witness to as many ends none is convicted before there are more of
-//!   them.
+//! When a back end crashes, the crash is recorded for each request that was in flight there. A
+//! request that was in flight at the crashes of several incarnations, without an answer in
+//! between, is quarantined: it is rejected for a time. Three rules protect harmless requests:
+//! - An answer, by any daemon, to a run that began after the first crash clears the record. An
+//!   object that is often requested is in flight at every crash, and is answered as often.
+//! - Crashes at nearly the same time may have a common cause (a rack, a zone): the crashes of a
+//!   record must be further apart than the time in which daemons learn of one.
+//! - The crashes for which one request is quarantined are attributed to it, and count against
+//!   no other. Of several requests with equally many crashes none is quarantined before there
+//!   are more crashes.
 //!
-//! A request with two ends, or a conviction that is over, runs as a trial: one in the whole
-//! system, granted by the control process that leads, and paid for when it is granted. So
-//! what becomes of the daemon that tries it doesn't matter, nor how many daemons there are.
+//! A request with two crashes, or one whose quarantine is over, runs as a trial: one at a time
+//! in the whole system, granted by the leading control process and counted as failed as soon as
+//! it is granted. So the limit holds even if the daemon that runs the trial stops, and with any
+//! number of daemons.
 //!
-//! A life of a process begins without any of this. Control processes keep the cases and
-//! hand them to each daemon that connects, and daemons hand theirs to control processes:
-//! without that, daemons that started again by turns ran one request into 20 back ends.
+//! A process starts without crash records. Control processes keep them and send them to each
+//! daemon that connects, and daemons send theirs to control processes. Without that exchange,
+//! daemons that restarted one after another sent one request to 20 back ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::NonZeroUsize;
@@ -30,166 +31,176 @@
 use crate::findings::{Finding, SeenFindings, SharedFinding};
 
 use answers::RecentAnswers;
-use case::{CONVICTING_ENDS_OF_USUAL, Case, EVIDENCE_MS, End};
-pub use case::{SharedCase, SharedEnd};
-use known_ends::KnownEnds;
+use crash_record::{Crash, CrashRecord, EVIDENCE_MS, QUARANTINE_CRASHES_IF_FREQUENT};
+pub use crash_record::{SharedCrash, SharedCrashRecord};
+use known_crashes::KnownCrashes;
 use permits::Permits;
-pub use verdicts::{CaseNews, CaseView, Held, TrialVerdict};
+pub use verdicts::{CrashRecordUpdate, CrashRecordView, TrialVerdict, WithholdReason};
 
 mod answers;
-mod case;
-mod known_ends;
+mod crash_record;
+mod known_crashes;
 mod permits;
 mod verdicts;
 
-/// When a caller may come back whose request waits for another one's fate: two runs.
-const LANE_PAUSE_MS: Millis = 300;
-/// Cases, ends and reports that are remembered, each. A case takes about 200 bytes.
-const MOST_REMEMBERED: usize = 1_024;
-/// Requests of which it is remembered that they were cleared.
-const MOST_CLEARED: NonZeroUsize = NonZeroUsize::new(MOST_REMEMBERED).unwrap();
-/// Cases that are told to a process that connects: the convicted and the newest ones.
-const MOST_TOLD_CASES: usize = 48;
-/// Witnesses of one end that are looked at: more than a back end has slots.
-pub const MOST_WITNESSES: usize = 64;
-
-/// What makes two requests the same to a back end.
+/// Time after which a caller may ask again whose request waits for the result of another run:
+/// the duration of two runs.
+const SUSPECT_RETRY_MS: Millis = 300;
+/// Limit on crash records, on known crashes and on cleared requests, each. A record takes about
+/// 200 bytes.
+const MAX_RECORDS: usize = 1_024;
+const MAX_CLEARED: NonZeroUsize = NonZeroUsize::new(MAX_RECORDS).unwrap();
+/// Records that are sent to a process that connects: the quarantined and the newest ones.
+const MAX_SHARED_RECORDS: usize = 48;
+/// In-flight requests that are considered for one crash: more than a back end has slots.
+pub const MAX_IN_FLIGHT_REQUESTS: usize = 64;
+
+/// Identity of a request; equal for requests that are the same to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
-/// The cases as one process knows them.
+/// The crash records that one process knows.
 #[derive(Clone, Debug)]
 pub struct FatalRequests {
     /// Hash of this daemon's name.
-    own: u64,
-    cases: BTreeMap<Fingerprint, Case>,
-    /// Requests under way from this daemon.
+    own_hash: u64,
+    records: BTreeMap<Fingerprint, CrashRecord>,
+    /// Requests in flight from this daemon.
     running: BTreeMap<Fingerprint, u32>,
-    known_ends: KnownEnds,
+    known_crashes: KnownCrashes,
     seen: SeenFindings,
     answers: RecentAnswers,
     permits: Permits,
-    /// When requests were cleared, so that older news of them changes nothing.
+    /// Times at which requests were cleared, so that older reports of them change nothing.
     cleared: LruCache<Fingerprint, Millis>,
 }
 
 impl FatalRequests {
-    /// Nothing known; `own` is the hash of this daemon's name.
-    pub fn new(own: u64) -> FatalRequests {
+    /// Starts without records; `own_hash` is the hash of this daemon's name.
+    pub fn new(own_hash: u64) -> FatalRequests {
         FatalRequests {
-            own,
-            cases: BTreeMap::new(),
+            own_hash,
+            records: BTreeMap::new(),
             running: BTreeMap::new(),
-            known_ends: KnownEnds::default(),
+            known_crashes: KnownCrashes::default(),
             seen: SeenFindings::default(),
             answers: RecentAnswers::default(),
             permits: Permits::default(),
-            cleared: LruCache::new(MOST_CLEARED),
+            cleared: LruCache::new(MAX_CLEARED),
         }
     }
 
-    /// Hash of this daemon's name.
-    pub fn own(&self) -> u64 {
-        self.own
+    /// Returns the hash of this daemon's name.
+    pub fn own_hash(&self) -> u64 {
+        self.own_hash
     }
 
-    /// Whether there are any cases.
+    /// Returns whether there are no crash records.
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.records.is_empty()
     }
 
-    /// What is known of a request, if back ends ended under it.
-    pub fn view(&self, now: Millis, request: Fingerprint) -> Option<CaseView> {
-        let case = self.cases.get(&request)?;
-        Some(CaseView {
+    /// Returns a summary of the crash record of a request, if there is one.
+    pub fn view(&self, now: Millis, request: Fingerprint) -> Option<CrashRecordView> {
+        let record = self.records.get(&request)?;
+        Some(CrashRecordView {
             request,
-            ends: case.ends.len(),
-            convictions: case.convictions,
-            rejected_ms: case.convicted_until.saturating_sub(now),
+            ends: record.crashes.len(),
+            convictions: record.quarantines,
+            rejected_ms: record.quarantined_until.saturating_sub(now),
         })
     }
 
-    /// All requests under which back ends ended.
-    pub fn views(&self, now: Millis) -> Vec<CaseView> {
-        let requests = self.cases.keys();
+    /// Returns summaries of all crash records.
+    pub fn views(&self, now: Millis) -> Vec<CrashRecordView> {
+        let requests = self.records.keys();
         requests
             .filter_map(|request| self.view(now, *request))
             .collect()
     }
 
-    /// Whether a request may be sent that was not sent before. A suspect runs one at a time:
-    /// at its owner where daemons know each other (`is_owner`), and else at each daemon.
-    pub fn may_run(&self, now: Millis, request: Fingerprint, is_owner: bool) -> Result<(), Held> {
-        let Some(case) = self.cases.get(&request) else {
+    /// Decides whether a request may be sent for the first time. A suspect request runs one at
+    /// a time: at its owner where daemons know each other (`is_owner`), and otherwise at each
+    /// daemon.
+    pub fn may_run(
+        &self,
+        now: Millis,
+        request: Fingerprint,
+        is_owner: bool,
+    ) -> Result<(), WithholdReason> {
+        let Some(record) = self.records.get(&request) else {
             return Ok(());
         };
         if self.permits.is_granted(now, request) {
             return Ok(());
         }
-        if now < case.convicted_until {
-            let again_in_ms = case.convicted_until - now;
-            return Err(Held::Convicted { again_in_ms });
+        if now < record.quarantined_until {
+            let again_in_ms = record.quarantined_until - now;
+            return Err(WithholdReason::Quarantined { again_in_ms });
         }
-        let again_in_ms = LANE_PAUSE_MS;
-        if case.needs_trial() {
-            return Err(Held::NeedsTrial { again_in_ms });
+        let again_in_ms = SUSPECT_RETRY_MS;
+        if record.needs_trial() {
+            return Err(WithholdReason::NeedsTrial { again_in_ms });
         }
-        if !case.is_suspect(now) {
+        if !record.is_suspect(now) {
             return Ok(());
         }
         let is_running = self.running.contains_key(&request);
-        if is_running || !is_owner || case.is_too_soon(now) {
-            return Err(Held::Suspected { again_in_ms });
+        if is_running || !is_owner || record.may_share_cause(now) {
+            return Err(WithholdReason::Suspected { again_in_ms });
         }
         Ok(())
     }
 
-    /// Whether a request that was sent before may be sent again: a second back end shows
-    /// whether the first one's end was chance, and no third one is risked. The back ends in
-    /// `broken_backends`, to which the connection broke while they had this request, count as
-    /// ended even if their ends have not been reported yet.
+    /// Decides whether a request that was sent before may be sent again: a second back end
+    /// shows whether the first crash was a coincidence, and no third one is risked. The back
+    /// ends in `broken_backends`, to which the connection broke while they had this request,
+    /// count as crashed even if their crashes have not been reported yet.
     pub fn may_repeat(
         &self,
         now: Millis,
         request: Fingerprint,
         broken_backends: &[u64],
-    ) -> Result<(), Held> {
-        match self.cases.get(&request) {
-            Some(case) if now < case.convicted_until => Err(Held::Convicted {
-                again_in_ms: case.convicted_until - now,
-            }),
-            Some(case) if case.needs_trial_if_ended(broken_backends) => Err(Held::Suspected {
-                again_in_ms: LANE_PAUSE_MS,
+    ) -> Result<(), WithholdReason> {
+        match self.records.get(&request) {
+            Some(record) if now < record.quarantined_until => Err(WithholdReason::Quarantined {
+                again_in_ms: record.quarantined_until - now,
             }),
+            Some(record) if record.needs_trial_with(broken_backends) => {
+                Err(WithholdReason::Suspected {
+                    again_in_ms: SUSPECT_RETRY_MS,
+                })
+            }
             _ => Ok(()),
         }
     }
 
-    /// Whether news that came after `chosen_at` holds back a request which was to be sent
-    /// then, and is not sent yet.
-    pub fn is_held_since(&self, now: Millis, request: Fingerprint, chosen_at: Millis) -> bool {
-        let case = self.cases.get(&request);
-        case.is_some_and(|case| {
-            case.last_at >= chosen_at && (case.needs_trial() || now < case.convicted_until)
+    /// Returns whether a report received after `chosen_at` forbids sending a request for which
+    /// a back end was chosen then.
+    pub fn is_withheld_since(&self, now: Millis, request: Fingerprint, chosen_at: Millis) -> bool {
+        let record = self.records.get(&request);
+        record.is_some_and(|record| {
+            record.last_event_at >= chosen_at
+                && (record.needs_trial() || now < record.quarantined_until)
         })
     }
 
-    /// Control grants this daemon a trial.
-    pub fn permit(&mut self, now: Millis, request: Fingerprint) {
+    /// Records that control has granted this daemon a trial.
+    pub fn grant_permit(&mut self, now: Millis, request: Fingerprint) {
         self.permits.grant(now, request);
     }
 
-    /// Uses the leave to try a request, if there is one.
-    pub fn use_permit(&mut self, now: Millis, request: Fingerprint) -> bool {
+    /// Consumes the permit to try a request. Returns whether there was a valid one.
+    pub fn take_permit(&mut self, now: Millis, request: Fingerprint) -> bool {
         self.permits.take(now, request)
     }
 
-    /// A request goes to a back end.
+    /// Records that a request is sent to a back end.
     pub fn start(&mut self, request: Fingerprint) {
         *self.running.entry(request).or_default() += 1;
     }
 
-    /// A request that was started has ended.
+    /// Records that a request that was started is finished.
     pub fn finish(&mut self, request: Fingerprint) {
         if let Some(count) = self.running.get_mut(&request) {
             *count -= 1;
@@ -199,174 +210,177 @@
         }
     }
 
-    /// This daemon passed an answer on. Returns whether others are to be told: it speaks
-    /// for a witness, since its run began, at `began_at`, after the first end.
+    /// Records that this daemon forwarded an answer. Returns whether the answer has to be
+    /// reported to others: it clears a crash record if its run began, at `began_at`, after the
+    /// first crash.
     pub fn note_answer(&mut self, now: Millis, request: Fingerprint, began_at: Millis) -> bool {
-        self.answers.note(now, request);
+        self.answers.record(now, request);
         self.is_cleared_by(request, began_at)
     }
 
-    /// Whether an answer to a run that began at `began_at` speaks for the request.
+    /// Returns whether an answer to a run that began at `began_at` clears the request.
     fn is_cleared_by(&self, request: Fingerprint, began_at: Millis) -> bool {
-        let case = self.cases.get(&request);
-        let ends = case.into_iter().flat_map(|case| &case.ends);
-        let first = ends.map(|end| end.at).min();
-        case.is_some() && first.is_none_or(|first| first < began_at)
+        let record = self.records.get(&request);
+        let crashes = record.into_iter().flat_map(|record| &record.crashes);
+        let first = crashes.map(|crash| crash.at).min();
+        record.is_some() && first.is_none_or(|first| first < began_at)
     }
 
-    /// Takes a report in, of this daemon or of another one. The same report again, on
-    /// whatever way, changes nothing.
-    pub fn take(&mut self, now: Millis, report: &SharedFinding) -> Vec<CaseNews> {
+    /// Applies a report of this daemon or of another one. Further copies of the same report
+    /// change nothing, whichever path they take.
+    pub fn apply_finding(&mut self, now: Millis, report: &SharedFinding) -> Vec<CrashRecordUpdate> {
         if !self.seen.is_first(report.number) {
             return Vec::new();
         }
-        self.forget_old(now);
+        self.evict_expired(now);
         match &report.finding {
             Finding::Answered(request) => self.clear(now, *request),
             Finding::Drains { .. } => Vec::new(),
             Finding::Ended { backend, witnesses } => {
-                let witnesses = &witnesses[..witnesses.len().min(MOST_WITNESSES)];
-                let news = self.take_end(now, *backend, witnesses, report.reporter);
-                let views = news.iter().filter_map(|request| self.view(now, *request));
-                let witnesses = views.map(CaseNews::Witness).collect();
-                [witnesses, self.convict(now)].concat()
+                let witnesses = &witnesses[..witnesses.len().min(MAX_IN_FLIGHT_REQUESTS)];
+                let new_requests = self.apply_crash(now, *backend, witnesses, report.reporter);
+                let views = new_requests
+                    .iter()
+                    .filter_map(|request| self.view(now, *request));
+                let crashes = views.map(CrashRecordUpdate::Crash).collect();
+                [crashes, self.quarantine_proven(now)].concat()
             }
         }
     }
 
-    /// Returns the witnesses that were not known to be under way at this end.
-    fn take_end(
+    /// Records a crash. Returns the requests that were not yet known to be in flight at it.
+    fn apply_crash(
         &mut self,
         now: Millis,
         backend: u64,
-        witnesses: &[Fingerprint],
+        in_flight: &[Fingerprint],
         reporter: u64,
     ) -> Vec<Fingerprint> {
-        let is_convicted = |request: &Fingerprint| {
-            let case = self.cases.get(request);
-            case.is_some_and(|case| case.is_convicted(now))
+        let is_quarantined = |request: &Fingerprint| {
+            let record = self.records.get(request);
+            record.is_some_and(|record| record.is_quarantined(now))
         };
-        let is_convicted = witnesses.iter().any(is_convicted);
-        let mut news: Vec<Fingerprint> = witnesses.to_vec();
-        news.retain(|request| self.known_ends.add(backend, now, *request));
-        if is_convicted || self.known_ends.is_explained(backend) {
-            self.explain(now, &[backend]);
+        let is_quarantined = in_flight.iter().any(is_quarantined);
+        let mut new_requests: Vec<Fingerprint> = in_flight.to_vec();
+        new_requests.retain(|request| self.known_crashes.add(backend, now, *request));
+        if is_quarantined || self.known_crashes.is_attributed(backend) {
+            self.attribute(now, &[backend]);
             return Vec::new();
         }
         let reporters = BTreeSet::from([reporter]);
-        for request in news.iter().copied() {
+        for request in new_requests.iter().copied() {
             let at = now;
             let reporters = reporters.clone();
-            self.add_end(
+            self.add_crash(
                 now,
                 request,
-                End {
+                Crash {
                     backend,
                     at,
                     reporters,
                 },
             );
         }
-        for request in witnesses {
+        for request in in_flight {
             self.add_reporters(*request, backend, &reporters);
         }
-        news
+        new_requests
     }
 
-    /// These daemons saw the end too.
+    /// Adds daemons that observed the crash.
     fn add_reporters(&mut self, request: Fingerprint, backend: u64, reporters: &BTreeSet<u64>) {
-        let case = self.cases.get_mut(&request);
-        let mut ends = case.into_iter().flat_map(|case| &mut case.ends);
-        if let Some(end) = ends.find(|end| end.backend == backend) {
-            end.reporters.extend(reporters);
+        let record = self.records.get_mut(&request);
+        let mut crashes = record.into_iter().flat_map(|record| &mut record.crashes);
+        if let Some(crash) = crashes.find(|crash| crash.backend == backend) {
+            crash.reporters.extend(reporters);
         }
     }
 
-    /// A back end ended under the request, which was under way there.
-    fn add_end(&mut self, now: Millis, request: Fingerprint, end: End) {
-        let is_usual = self.answers.is_usual(now, request);
-        let case = self.cases.entry(request).or_default();
-        if !case.is_convicted(now) {
-            case.is_usual = is_usual;
-            case.add_end(end);
+    /// Adds the crash of a back end where the request was in flight.
+    fn add_crash(&mut self, now: Millis, request: Fingerprint, crash: Crash) {
+        let is_frequent = self.answers.is_frequent(now, request);
+        let record = self.records.entry(request).or_default();
+        if !record.is_quarantined(now) {
+            record.is_frequent = is_frequent;
+            record.add_crash(crash);
         }
     }
 
-    /// Nothing counts against the request any more.
-    pub fn clear(&mut self, now: Millis, request: Fingerprint) -> Vec<CaseNews> {
-        let Some(case) = self.cases.remove(&request) else {
+    /// Removes the crash record of the request.
+    pub fn clear(&mut self, now: Millis, request: Fingerprint) -> Vec<CrashRecordUpdate> {
+        let Some(record) = self.records.remove(&request) else {
             return Vec::new();
         };
         self.cleared.put(request, now);
-        let was_convicted = case.convictions > 0;
-        Vec::from_iter(was_convicted.then_some(CaseNews::Cleared { request }))
+        let was_quarantined = record.quarantines > 0;
+        Vec::from_iter(was_quarantined.then_some(CrashRecordUpdate::Cleared { request }))
     }
 
-    /// What is known of a request, for others.
-    pub fn shared(&self, now: Millis, request: Fingerprint) -> Option<SharedCase> {
-        let case = self.cases.get(&request)?;
-        Some(case.shared(now, request))
+    /// Returns the crash record of a request in the form that is sent to other processes.
+    pub fn shared(&self, now: Millis, request: Fingerprint) -> Option<SharedCrashRecord> {
+        let record = self.records.get(&request)?;
+        Some(record.shared(now, request))
     }
 
-    /// What another process has to know that connects.
-    pub fn told(&self, now: Millis) -> Vec<SharedCase> {
-        let cases = self.cases.iter();
-        let mut told: Vec<SharedCase> = cases
-            .map(|(request, case)| case.shared(now, *request))
+    /// Returns the records that are sent to a process that connects.
+    pub fn snapshot(&self, now: Millis) -> Vec<SharedCrashRecord> {
+        let records = self.records.iter();
+        let mut records: Vec<SharedCrashRecord> = records
+            .map(|(request, record)| record.shared(now, *request))
             .collect();
-        told.sort_by_key(|case| (std::cmp::Reverse(case.convictions), case.idle_ms));
-        told.truncate(MOST_TOLD_CASES);
-        told
+        records.sort_by_key(|shared| (std::cmp::Reverse(shared.convictions), shared.idle_ms));
+        records.truncate(MAX_SHARED_RECORDS);
+        records
     }
 
-    /// Takes in what another process knows of a request. In any order, late, or twice, it
-    /// leads to the same: ends are told apart by their back ends, and of convictions the
-    /// longest counts. Returns what was new.
-    pub fn merge(&mut self, now: Millis, shared: &SharedCase) -> Vec<CaseNews> {
+    /// Merges the crash record of another process. The result does not depend on the order,
+    /// delay or repetition of merges: crashes are identified by their back ends, and of several
+    /// quarantines the longest counts. Returns the changes.
+    pub fn merge(&mut self, now: Millis, shared: &SharedCrashRecord) -> Vec<CrashRecordUpdate> {
         let request = shared.request;
         let newest = now.saturating_sub(shared.idle_ms);
         let is_older = |cleared_at: &Millis| newest <= *cleared_at;
         if self.cleared.peek(&request).is_some_and(is_older) {
             return Vec::new();
         }
-        self.forget_old(now);
-        let mut news = Vec::new();
-        for end in &shared.ends {
-            if self.merge_end(now, request, end) {
-                news.extend(self.view(now, request).map(CaseNews::Witness));
+        self.evict_expired(now);
+        let mut changes = Vec::new();
+        for crash in &shared.ends {
+            if self.merge_crash(now, request, crash) {
+                changes.extend(self.view(now, request).map(CrashRecordUpdate::Crash));
             }
         }
         if shared.convictions > 0 {
-            let case = self.cases.entry(request).or_default();
-            if case.merge_conviction(now, shared) {
-                news.push(CaseNews::Convicted {
+            let record = self.records.entry(request).or_default();
+            if record.merge_quarantine(now, shared) {
+                changes.push(CrashRecordUpdate::Quarantined {
                     request,
-                    ends: case.ends.len(),
-                    lasts_ms: case.convicted_until.saturating_sub(now),
+                    ends: record.crashes.len(),
+                    lasts_ms: record.quarantined_until.saturating_sub(now),
                 });
             }
         }
-        news.extend(self.convict(now));
-        news
+        changes.extend(self.quarantine_proven(now));
+        changes
     }
 
-    /// Returns whether the end is news here.
-    fn merge_end(&mut self, now: Millis, request: Fingerprint, end: &SharedEnd) -> bool {
-        if end.age_ms >= EVIDENCE_MS {
+    /// Merges a crash. Returns whether it was added to the record.
+    fn merge_crash(&mut self, now: Millis, request: Fingerprint, crash: &SharedCrash) -> bool {
+        if crash.age_ms >= EVIDENCE_MS {
             return false;
         }
-        let at = now.saturating_sub(end.age_ms);
-        let backend = end.backend;
-        let reporters: BTreeSet<u64> = end.reporters.iter().copied().collect();
-        let is_news = self.known_ends.add(backend, at, request);
-        if !is_news || self.known_ends.is_explained(backend) {
+        let at = now.saturating_sub(crash.age_ms);
+        let backend = crash.backend;
+        let reporters: BTreeSet<u64> = crash.reporters.iter().copied().collect();
+        let is_new = self.known_crashes.add(backend, at, request);
+        if !is_new || self.known_crashes.is_attributed(backend) {
             self.add_reporters(request, backend, &reporters);
             return false;
         }
-        self.add_end(
+        self.add_crash(
             now,
             request,
-            End {
+            Crash {
                 backend,
                 at,
                 reporters,
@@ -375,108 +389,117 @@
         true
     }
 
-    /// Decides, for all daemons, whether one of them may try a request. The trial counts
-    /// as failed from now on, until an answer is reported: whoever tries it may end before
-    /// it can tell.
+    /// Decides, for all daemons, whether one of them may run a trial of a request. The trial counts as
+    /// failed until an answer is reported, since the daemon that runs it may stop before it
+    /// reports the result.
     pub fn grant_trial(&mut self, now: Millis, request: Fingerprint) -> TrialVerdict {
-        // A conviction may have been deferred until all reports of an end had arrived.
-        self.convict(now);
-        let Some(case) = self.cases.get_mut(&request) else {
+        // A quarantine may have been deferred until all reports of a crash had arrived.
+        self.quarantine_proven(now);
+        let Some(record) = self.records.get_mut(&request) else {
             return TrialVerdict::Cleared(request);
         };
-        if !case.needs_trial() {
+        if !record.needs_trial() {
             return TrialVerdict::Cleared(request);
         }
-        if now < case.convicted_until || case.is_too_soon(now) {
-            return TrialVerdict::Refused(case.shared(now, request));
+        if now < record.quarantined_until || record.may_share_cause(now) {
+            return TrialVerdict::Refused(record.shared(now, request));
         }
-        case.convict(now);
-        // They have brought the trial, and don't convict once more when it is over.
-        case.ends.clear();
-        case.last_at = now;
-        TrialVerdict::Granted(case.shared(now, request))
+        record.quarantine(now);
+        // These crashes led to the trial, and don't cause another quarantine when it is over.
+        record.crashes.clear();
+        record.last_event_at = now;
+        TrialVerdict::Granted(record.shared(now, request))
     }
 
-    /// Convicts whom the ends tell of, the one with the most ends first: these explain the
-    /// ends of others.
-    fn convict(&mut self, now: Millis) -> Vec<CaseNews> {
-        let mut news = Vec::new();
-        while let Some(request) = self.next_convict(now) {
-            let Some(case) = self.cases.get_mut(&request) else {
+    /// Quarantines the requests with sufficient evidence, starting with the one with the most
+    /// crashes: these crashes then count against no other request.
+    fn quarantine_proven(&mut self, now: Millis) -> Vec<CrashRecordUpdate> {
+        let mut changes = Vec::new();
+        while let Some(request) = self.next_to_quarantine(now) {
+            let Some(record) = self.records.get_mut(&request) else {
                 break;
             };
-            let ends = std::mem::take(&mut case.ends);
-            let lasts_ms = case.convict(now);
-            news.push(CaseNews::Convicted {
+            let crashes = std::mem::take(&mut record.crashes);
+            let lasts_ms = record.quarantine(now);
+            changes.push(CrashRecordUpdate::Quarantined {
                 request,
-                ends: ends.len(),
+                ends: crashes.len(),
                 lasts_ms,
             });
-            let backends: Vec<u64> = ends.iter().map(|end| end.backend).collect();
-            self.explain(now, &backends);
+            let backends: Vec<u64> = crashes.iter().map(|crash| crash.backend).collect();
+            self.attribute(now, &backends);
         }
-        news
+        changes
     }
 
-    /// The ends of these back ends have an explanation: they count against nobody any more.
-    fn explain(&mut self, now: Millis, backends: &[u64]) {
+    /// Marks the crashes of these back ends as attributed and removes them from all records.
+    fn attribute(&mut self, now: Millis, backends: &[u64]) {
         for backend in backends {
-            self.known_ends.explain(*backend, now);
+            self.known_crashes.attribute(*backend, now);
         }
-        for case in self.cases.values_mut() {
-            case.ends.retain(|end| !backends.contains(&end.backend));
+        for record in self.records.values_mut() {
+            record
+                .crashes
+                .retain(|crash| !backends.contains(&crash.backend));
         }
-        self.cases
-            .retain(|_, case| !case.ends.is_empty() || case.convictions > 0);
+        self.records
+            .retain(|_, record| !record.crashes.is_empty() || record.quarantines > 0);
     }
 
-    /// The request that is convicted next: one whose trial ended a back end, else of those
-    /// that the ends prove the one with the most, and one that is seldom answered first.
-    fn next_convict(&self, now: Millis) -> Option<Fingerprint> {
-        let cases = self.cases.iter();
-        let open = cases.filter(|(_, case)| !case.is_convicted(now) && !case.ends.is_empty());
-        if let Some((request, _)) = open.clone().find(|(_, case)| case.convictions > 0) {
+    /// Returns the request to quarantine next: one whose trial crashed a back end, otherwise
+    /// the one with the most crashes among those with sufficient evidence. Requests that are not
+    /// answered frequently come first.
+    fn next_to_quarantine(&self, now: Millis) -> Option<Fingerprint> {
+        let records = self.records.iter();
+        let open =
+            records.filter(|(_, record)| !record.is_quarantined(now) && !record.crashes.is_empty());
+        if let Some((request, _)) = open.clone().find(|(_, record)| record.quarantines > 0) {
             return Some(*request);
         }
-        let rank = |case: &Case| (!case.is_usual, case.ends.len());
-        let proven: Vec<_> = open.filter(|(_, case)| case.is_proven(self.own)).collect();
-        let best = proven.iter().map(|(_, case)| rank(case)).max()?;
-        let equals = proven.iter().filter(|(_, case)| rank(case) == best);
-        let is_shared = equals.clone().count() > 1 && best.1 < CONVICTING_ENDS_OF_USUAL;
+        let rank = |record: &CrashRecord| (!record.is_frequent, record.crashes.len());
+        let proven: Vec<_> = open
+            .filter(|(_, record)| record.has_sufficient_evidence(self.own_hash))
+            .collect();
+        let best = proven.iter().map(|(_, record)| rank(record)).max()?;
+        let equals = proven.iter().filter(|(_, record)| rank(record) == best);
+        let is_shared = equals.clone().count() > 1 && best.1 < QUARANTINE_CRASHES_IF_FREQUENT;
         let first = equals.map(|(request, _)| **request).min();
         first.filter(|request| !is_shared && !self.may_be_tied(now, *request))
     }
 
-    /// Whether pending reports may bring another request to as many ends. Each daemon with
-    /// requests at a back end reports its end and names only its own requests, so the first
-    /// report may name only an innocent one.
+    /// Returns whether pending reports may bring another request to as many crashes. Each daemon
+    /// with requests at a back end reports its crash and names only its own requests, so the
+    /// first report may name only a harmless one.
     fn may_be_tied(&self, now: Millis, request: Fingerprint) -> bool {
-        let Some(case) = self.cases.get(&request) else {
+        let Some(record) = self.records.get(&request) else {
             return false;
         };
-        let fully_reported = case.fully_reported_ends(now);
-        let mut others = self.cases.iter().filter(|(other, _)| **other != request);
-        fully_reported < case.ends.len()
-            && others.any(|(_, other)| other.ends.len() >= fully_reported)
+        let fully_reported = record.fully_reported_crashes(now);
+        let mut others = self.records.iter().filter(|(other, _)| **other != request);
+        fully_reported < record.crashes.len()
+            && others.any(|(_, other)| other.crashes.len() >= fully_reported)
     }
 
-    fn forget_old(&mut self, now: Millis) {
+    fn evict_expired(&mut self, now: Millis) {
         let is_recent = |at: Millis| now.saturating_sub(at) < EVIDENCE_MS;
-        self.known_ends
-            .forget_before(now.saturating_sub(EVIDENCE_MS));
-        for case in self.cases.values_mut() {
-            case.ends.retain(|end| is_recent(end.at));
+        self.known_crashes
+            .evict_before(now.saturating_sub(EVIDENCE_MS));
+        for record in self.records.values_mut() {
+            record.crashes.retain(|crash| is_recent(crash.at));
         }
-        self.cases.retain(|_, case| {
-            let recent = is_recent(case.convicted_until.max(case.last_at));
-            !case.ends.is_empty() || case.convictions > 0 && recent
+        self.records.retain(|_, record| {
+            let recent = is_recent(record.quarantined_until.max(record.last_event_at));
+            !record.crashes.is_empty() || record.quarantines > 0 && recent
         });
-        while self.cases.len() >= MOST_REMEMBERED {
-            let oldest = self.cases.iter().min_by_key(|(_, case)| case.last_at);
+        while self.records.len() >= MAX_RECORDS {
+            let oldest = self
+                .records
+                .iter()
+                .min_by_key(|(_, record)| record.last_event_at);
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 break;
             };
-            self.cases.remove(&request);
+            self.records.remove(&request);
         }
     }
 }
--- a/crates/coursestand-routing/src/fatal_requests/verdicts.rs
+++ b/crates/coursestand-routing/src/fatal_requests/verdicts.rs
@@ -1,69 +1,70 @@
-//! What is decided about a request under which back ends ended, and told of it.
+//! Decisions on requests with a crash record, and their reports.
 
 use coursestand_model::Millis;
 use serde::{Deserialize, Serialize};
 
-use super::{Fingerprint, SharedCase};
+use super::{Fingerprint, SharedCrashRecord};
 
 /// Why a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
-    /// Back ends ended under such requests, and one is run elsewhere to see.
+pub enum WithholdReason {
+    /// Back ends crashed while the request was in flight, and it is run elsewhere to find out
+    /// whether it is the cause.
     Suspected {
-        /// When to ask again, in milliseconds.
+        /// Time until the caller may ask again, in milliseconds.
         again_in_ms: Millis,
     },
-    /// Too many back ends ended under such requests.
-    Convicted {
-        /// Until one is tried, in milliseconds.
+    /// The request is quarantined: too many back ends crashed while it was in flight.
+    Quarantined {
+        /// Time until a trial is possible, in milliseconds.
         again_in_ms: Millis,
     },
-    /// It may run as a trial, if control grants one.
+    /// The request runs only as a trial, if control grants one.
     NeedsTrial {
-        /// When to ask again where none is granted, in milliseconds.
+        /// Time until the caller may ask again if no trial is granted, in milliseconds.
         again_in_ms: Millis,
     },
 }
 
-/// What control answers to a daemon that wants to try a request.
+/// Answer of control to a daemon that asks for a trial of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrialVerdict {
-    /// The daemon may send it once. The case says how long it is rejected meanwhile.
-    Granted(SharedCase),
-    /// Not now.
-    Refused(SharedCase),
-    /// Nothing counts against it.
+    /// The daemon may send the request once. The record says how long it is rejected meanwhile.
+    Granted(SharedCrashRecord),
+    /// No trial is possible at this time.
+    Refused(SharedCrashRecord),
+    /// Nothing counts against the request.
     Cleared(Fingerprint),
 }
 
-/// What this daemon knows of a request under which back ends ended.
+/// Summary of a crash record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct CaseView {
+pub struct CrashRecordView {
     /// The request.
     pub request: Fingerprint,
-    /// Ends of back ends that count against it.
+    /// Number of crashes that count against the request.
     pub ends: usize,
-    /// How often it was convicted.
+    /// Number of quarantines so far.
     pub convictions: u32,
-    /// For how long it is rejected yet, in milliseconds.
+    /// Remaining time for which the request is rejected, in milliseconds.
     pub rejected_ms: Millis,
 }
 
-/// What a report changed, for the log.
+/// Change of a crash record, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CaseNews {
-    /// One more back end ended under a request that it knows.
-    Witness(CaseView),
-    /// The request is rejected from now on.
-    Convicted {
+pub enum CrashRecordUpdate {
+    /// Another back end crashed while the request was in flight.
+    Crash(CrashRecordView),
+    /// The request was quarantined.
+    Quarantined {
         /// The request.
         request: Fingerprint,
-        /// Back ends that ended under it.
+        /// Number of crashes that led to the quarantine.
         ends: usize,
-        /// For how long, in milliseconds.
+        /// Duration of the quarantine, in milliseconds.
         lasts_ms: Millis,
     },
-    /// A convicted request was answered.
+    /// A request that had been quarantined was answered.
     Cleared {
         /// The request.
         request: Fingerprint,
--- a/crates/coursestand-routing/src/lib.rs
+++ b/crates/coursestand-routing/src/lib.rs
@@ -28,12 +28,14 @@
 pub mod work_times;
 
 pub use backends::{Backend, BackendReport, Backends, LoadReport};
-pub use fatal_requests::{FatalRequests, Fingerprint, Held, SharedCase, TrialVerdict};
+pub use fatal_requests::{
+    FatalRequests, Fingerprint, SharedCrashRecord, TrialVerdict, WithholdReason,
+};
 pub use findings::{Finding, SharedFinding};
 pub use link_admission::LinkAdmission;
 pub use link_wait::LinkWait;
 pub use picker::{Pick, PickRequest, Picker, Refusal};
-pub use rate_limit::{LimitAccess, LimitNews, Rate, RateWord, SendToken};
+pub use rate_limit::{LimitAccess, Rate, RateLimitSignal, RateLimitUpdate, SendToken};
 pub use retry_allowance::RetryAllowance;
 pub use retry_budget::{RetryBudget, RetryLimits};
 pub use route_table::{RouteEntry, RouteTable};
--- a/crates/coursestand-routing/src/rate_limit/known.rs
+++ b/crates/coursestand-routing/src/rate_limit/known.rs
@@ -1,31 +1,31 @@
-//! The rate limit of one back end, as one daemon knows it.
+//! The rate limit of one back end, as known to one daemon.
 
 use coursestand_model::Millis;
 
-use super::access::OwnPart;
-use super::rate::{Rate, RateWord};
-use super::{ISSUED_PART, MOST_TOKENS};
+use super::access::FallbackShare;
+use super::rate::{Rate, RateLimitSignal};
+use super::{BUCKET_CAPACITY, USABLE_SHARE};
 
-/// Requests a second of one daemon from which on a limit is divided.
-const LEAST_PART: f64 = 20.0;
+/// Requests per second for each daemon from which a limit is divided among the daemons.
+const MIN_DIVIDED_PER_SECOND: f64 = 20.0;
 
-/// One answer as a source about a rate limit.
+/// What one answer of a back end says of its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// What it says.
-    pub word: RateWord,
-    /// When its request was sent.
+    /// The signal in the answer.
+    pub signal: RateLimitSignal,
+    /// Time at which the request was sent.
     pub sent_at: Millis,
-    /// Whether the whole answer came, and not only its head.
+    /// Whether the whole answer was received, and not only its head.
     pub is_whole: bool,
 }
 
-/// What became of a limit.
+/// Change of a known limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// The back end names this limit from now on.
+    /// The back end has this limit.
     Limited(Rate),
-    /// It has none any more.
+    /// The limit was lifted.
     Lifted,
 }
 
@@ -33,123 +33,133 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLimit {
     rate: Rate,
-    /// When it was named last.
-    named_at: Millis,
-    /// Whether the back end named it to this daemon.
-    is_own: bool,
-    /// Control issues no token before.
+    /// Time of the last report.
+    reported_at: Millis,
+    /// Whether the back end reported it to this daemon.
+    is_first_hand: bool,
+    /// Time before which control issues no token.
     denied_until: Millis,
     /// Rank of the request that was denied; a more urgent one may get a token.
     denied_priority: u32,
-    /// When this daemon's own part was used last.
-    own_part_used_at: Option<Millis>,
-    /// Tokens of its part of a limit that is divided, and when that was worked out.
-    part: (f64, Millis),
+    /// Time at which this daemon last used its share without control.
+    fallback_used_at: Option<Millis>,
+    /// Tokens of this daemon's share of a divided limit, and the time of their calculation.
+    divided_share: (f64, Millis),
 }
 
 impl KnownLimit {
-    fn named(now: Millis, rate: Rate, is_own: bool) -> KnownLimit {
+    fn reported(now: Millis, rate: Rate, is_first_hand: bool) -> KnownLimit {
         KnownLimit {
             rate,
-            named_at: now,
-            is_own,
+            reported_at: now,
+            is_first_hand,
             denied_until: 0,
             denied_priority: 0,
-            own_part_used_at: None,
-            part: (0.0, now),
+            fallback_used_at: None,
+            divided_share: (0.0, now),
         }
     }
 
-    /// What the back end named.
+    /// Returns the limit.
     pub fn rate(&self) -> Rate {
         self.rate
     }
 
-    /// When it was named last.
-    pub fn named_at(&self) -> Millis {
-        self.named_at
+    /// Returns the time of the last report.
+    pub fn reported_at(&self) -> Millis {
+        self.reported_at
     }
 
-    /// Whether the back end named it to this daemon, and not only to others.
-    pub fn is_own(&self) -> bool {
-        self.is_own
+    /// Returns whether the back end reported it to this daemon, and not only to others.
+    pub fn is_first_hand(&self) -> bool {
+        self.is_first_hand
     }
 
-    /// Time until control may issue a token, in milliseconds.
+    /// Returns the time until control may issue a token, in milliseconds.
     pub fn denied_ms(&self, now: Millis) -> Millis {
         self.denied_until.saturating_sub(now)
     }
 
-    /// Whether asking for a token is of use for a request of this rank; 0 is the highest.
+    /// Returns whether control may issue a token for a request of this rank; 0 is the highest.
     pub fn may_ask(&self, now: Millis, priority: u32) -> bool {
         self.denied_ms(now) == 0 || priority < self.denied_priority
     }
 
-    /// Control denied a token to a request of this rank that was made at `asked_at`, and
-    /// issues none for `again_in_ms` from when it decided. That moment isn't known here; asking
-    /// too early costs a message, and too late leaves a token unused.
+    /// Records that control denied a token to a request of this rank that was made at `asked_at`,
+    /// and issues none for `again_in_ms` after its decision. The time of the decision is not
+    /// known here, so the time of the request is used: asking too early costs a message, while
+    /// asking too late leaves a token unused.
     pub fn note_denied(&mut self, asked_at: Millis, again_in_ms: Millis, priority: u32) {
         self.denied_until = asked_at.saturating_add(again_in_ms);
         self.denied_priority = priority;
     }
 
-    /// Whether each of so many daemons keeps to an equal part of the limit, without tokens.
-    /// Parts are divided where they are so large that the tokens of all daemons together are a
-    /// small part of the limit.
+    /// Returns whether the limit is divided into equal shares for this number of daemons, without
+    /// tokens from control. That is so where the shares are so large that the bucket capacities
+    /// of all daemons together are a small part of the limit.
     pub fn is_divided(&self, daemons: usize) -> bool {
-        self.rate.as_per_second() >= LEAST_PART * daemons.max(1) as f64
+        self.rate.as_per_second() >= MIN_DIVIDED_PER_SECOND * daemons.max(1) as f64
     }
 
-    fn part_tokens(&self, now: Millis, daemons: usize) -> f64 {
-        let (tokens, filled_at) = self.part;
-        let seconds = now.saturating_sub(filled_at) as f64 / 1_000.0;
-        let per_second = self.rate.as_per_second() * ISSUED_PART / daemons.max(1) as f64;
-        (tokens + per_second * seconds).min(MOST_TOKENS)
+    fn divided_share_tokens(&self, now: Millis, daemons: usize) -> f64 {
+        let (tokens, refilled_at) = self.divided_share;
+        let seconds = now.saturating_sub(refilled_at) as f64 / 1_000.0;
+        let per_second = self.rate.as_per_second() * USABLE_SHARE / daemons.max(1) as f64;
+        (tokens + per_second * seconds).min(BUCKET_CAPACITY)
     }
 
-    /// Whether this daemon's part of a divided limit allows a request.
-    pub fn has_part(&self, now: Millis, daemons: usize) -> bool {
-        self.part_tokens(now, daemons) >= 1.0
+    /// Returns whether this daemon's share of a divided limit allows a request.
+    pub fn has_divided_share(&self, now: Millis, daemons: usize) -> bool {
+        self.divided_share_tokens(now, daemons) >= 1.0
     }
 
-    /// A request is sent by this daemon's part of a divided limit.
-    pub fn note_part_used(&mut self, now: Millis, daemons: usize) {
-        self.part = (self.part_tokens(now, daemons) - 1.0, now);
+    /// Records that a request is sent within this daemon's share of a divided limit.
+    pub fn note_divided_share_used(&mut self, now: Millis, daemons: usize) {
+        self.divided_share = (self.divided_share_tokens(now, daemons) - 1.0, now);
     }
 
-    /// Whether it is this daemon's turn to send by its own part.
-    pub(super) fn is_own_turn(&self, now: Millis, own: &OwnPart, backend: u64) -> bool {
-        own.is_turn(now, backend, self.rate, self.own_part_used_at)
+    /// Returns whether it is this daemon's turn to send without a token from control.
+    pub(super) fn is_fallback_turn(
+        &self,
+        now: Millis,
+        share: &FallbackShare,
+        backend: u64,
+    ) -> bool {
+        share.is_turn(now, backend, self.rate, self.fallback_used_at)
     }
 
-    /// A request is sent by the daemon's own part.
-    pub fn note_own_turn(&mut self, now: Millis) {
-        self.own_part_used_at = Some(now);
+    /// Records that a request is sent in this daemon's turn, without a token from control.
+    pub fn note_fallback_turn(&mut self, now: Millis) {
+        self.fallback_used_at = Some(now);
     }
 
-    /// Takes in an answer. `limit` is what is known so far.
+    /// Applies an answer to the known `limit`. Returns the change, if there is one.
     ///
-    /// A lower limit binds at once. A higher one, or none, is believed of a whole answer to a
-    /// request that was sent after the limit was last named: answers overtake each other, and
-    /// an earlier one says nothing of now.
-    pub fn read(limit: &mut Option<KnownLimit>, now: Millis, read: Reading) -> Option<LimitChange> {
+    /// A lower limit takes effect at once. A higher one, or none, is accepted only from a whole
+    /// answer to a request that was sent after the last report: answers arrive out of order, and
+    /// an earlier one may be outdated.
+    pub fn apply_reading(
+        limit: &mut Option<KnownLimit>,
+        now: Millis,
+        reading: Reading,
+    ) -> Option<LimitChange> {
         let Some(known) = limit else {
-            let RateWord::Limited(rate) = read.word else {
+            let RateLimitSignal::Limited(rate) = reading.signal else {
                 return None;
             };
-            *limit = Some(KnownLimit::named(now, rate, true));
+            *limit = Some(KnownLimit::reported(now, rate, true));
             return Some(LimitChange::Limited(rate));
         };
-        let is_newest = read.is_whole && read.sent_at > known.named_at;
-        match read.word {
-            RateWord::Limited(rate) if rate <= known.rate || is_newest => {
-                let is_news = rate != known.rate || !known.is_own;
+        let is_newest = reading.is_whole && reading.sent_at > known.reported_at;
+        match reading.signal {
+            RateLimitSignal::Limited(rate) if rate <= known.rate || is_newest => {
+                let is_new = rate != known.rate || !known.is_first_hand;
                 known.rate = rate;
-                known.named_at = now;
-                known.is_own = true;
-                is_news.then_some(LimitChange::Limited(rate))
+                known.reported_at = now;
+                known.is_first_hand = true;
+                is_new.then_some(LimitChange::Limited(rate))
             }
-            RateWord::Unlimited if is_newest => {
+            RateLimitSignal::Unlimited if is_newest => {
                 *limit = None;
                 Some(LimitChange::Lifted)
             }
@@ -157,23 +167,28 @@
         }
     }
 
-    /// Takes in that other daemons were told this limit.
-    pub fn hear(
+    /// Applies a limit that other daemons reported.
+    pub fn apply_reported(
         limit: &mut Option<KnownLimit>,
-        named_at: Millis,
+        reported_at: Millis,
         rate: Rate,
     ) -> Option<LimitChange> {
         match limit {
-            None => *limit = Some(KnownLimit::named(named_at, rate, false)),
-            Some(known) if rate < known.rate && named_at > known.named_at => known.rate = rate,
+            None => *limit = Some(KnownLimit::reported(reported_at, rate, false)),
+            Some(known) if rate < known.rate && reported_at > known.reported_at => {
+                known.rate = rate
+            }
             Some(_) => return None,
         }
         Some(LimitChange::Limited(rate))
     }
 
-    /// Takes in that the back end had no limit at `lifted_at`, as another daemon was told.
-    pub fn hear_lifted(limit: &mut Option<KnownLimit>, lifted_at: Millis) -> Option<LimitChange> {
-        let lifted = limit.take_if(|known| known.named_at < lifted_at);
+    /// Applies the report of another daemon that the back end had no limit at `lifted_at`.
+    pub fn apply_reported_lift(
+        limit: &mut Option<KnownLimit>,
+        lifted_at: Millis,
+    ) -> Option<LimitChange> {
+        let lifted = limit.take_if(|known| known.reported_at < lifted_at);
         lifted.map(|_| LimitChange::Lifted)
     }
 }
--- a/crates/coursestand-routing/src/rate_limit/rate.rs
+++ b/crates/coursestand-routing/src/rate_limit/rate.rs
@@ -1,10 +1,10 @@
-//! Rates, and what an answer says of one.
+//! Request rates, and the rate limit signal in an answer.
 
 use serde::{Deserialize, Serialize};
 
 const MILLI: f64 = 1_000.0;
 
-/// Requests a second, kept in thousandths.
+/// A rate in requests per second, stored in thousandths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,28 +13,28 @@
 }
 
 impl Rate {
-    /// This many requests a second, rounded down to thousandths; anything below zero is zero.
+    /// Converts requests per second, rounded down to thousandths; negative values become zero.
     pub fn per_second(requests: f64) -> Rate {
-        // Conversion keeps to the bounds of the type, whatever was told.
+        // The conversion saturates at the bounds of the type.
         let milli = (requests * MILLI).floor() as u64;
         Rate { milli }
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn as_per_second(self) -> f64 {
         self.milli as f64 / MILLI
     }
 }
 
-/// What an answer says of its back end's rate limit.
+/// What an answer says of the rate limit of its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RateWord {
-    /// Nothing that counts: the answer is a failure without a limit, or its limit can't be
-    /// read.
+pub enum RateLimitSignal {
+    /// No usable information: the answer is a failure without a limit, or its limit cannot be
+    /// parsed.
     #[default]
-    Untold,
-    /// The back end has none.
+    NotReported,
+    /// The back end has no limit.
     Unlimited,
-    /// It takes this many from all daemons together.
+    /// The back end accepts this rate from all daemons together.
     Limited(Rate),
 }
--- a/crates/coursestand-routing/tests/backoff.rs
+++ b/crates/coursestand-routing/tests/backoff.rs
@@ -13,8 +13,8 @@
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
 use coursestand_routing::picker::{Balance, Place};
 use coursestand_routing::{
-    Backend, BackendReport, Backends, LimitAccess, LoadReport, PickRequest, Picker, RateWord,
-    Refusal,
+    Backend, BackendReport, Backends, LimitAccess, LoadReport, PickRequest, Picker,
+    RateLimitSignal, Refusal,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -100,7 +100,7 @@
         load: Some(IDLE),
         backoff_ms: Some(backoff_ms),
         drains: false,
-        rate: RateWord::Untold,
+        rate: RateLimitSignal::NotReported,
     };
     backends.note_backoff(now, &id(number), backoff_ms);
     backends.note_shed(now, &id(number), &report);
--- a/crates/coursestand-routing/tests/rate_limits/events.rs
+++ b/crates/coursestand-routing/tests/rate_limits/events.rs
@@ -1,9 +1,9 @@
-//! What happens in the world, in its order.
+//! Events of the simulation and their order.
 
 use coursestand_model::Millis;
 use coursestand_routing::rate_limit::{Rate, TokenRequest};
 
-/// The one back end.
+/// Incarnation of the only back end.
 pub const BACKEND: u64 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -11,67 +11,67 @@
     Request {
         daemon: usize,
     },
-    AskArrives {
+    TokenRequestArrives {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
         number: u64,
-        request: Asked,
+        request: OrderedTokenRequest,
     },
     VerdictArrives {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
         number: u64,
         verdict: Verdict,
     },
     RequestArrives {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
         sent_at: Millis,
     },
     AnswerArrives {
         daemon: usize,
-        life: u32,
+        incarnation: u32,
         sent_at: Millis,
-        named: Option<Rate>,
-        is_cut: bool,
+        reported: Option<Rate>,
+        is_truncated: bool,
     },
-    NewsArrives {
+    UpdateArrives {
         daemon: usize,
         rate: Option<Rate>,
         at: Millis,
     },
-    HeardArrives {
+    ForwardedUpdateArrives {
         daemon: usize,
         reporter: usize,
         rate: Rate,
         at: Millis,
     },
-    Harmed(usize),
-    LeaderComes,
+    Fault(usize),
+    LeaderElected,
 }
 
-/// A request for a token, as events are ordered.
+/// A token request with a total order, as the event queue requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Asked {
+pub struct OrderedTokenRequest {
     pub rate: Rate,
     pub age_ms: Millis,
 }
 
-impl From<TokenRequest> for Asked {
-    fn from(request: TokenRequest) -> Asked {
-        Asked {
+impl From<TokenRequest> for OrderedTokenRequest {
+    fn from(request: TokenRequest) -> OrderedTokenRequest {
+        OrderedTokenRequest {
             rate: request.rate,
             age_ms: request.age_ms,
         }
     }
 }
 
-impl From<Asked> for TokenRequest {
-    fn from(asked: Asked) -> TokenRequest {
+impl From<OrderedTokenRequest> for TokenRequest {
+    fn from(ordered: OrderedTokenRequest) -> TokenRequest {
         TokenRequest {
             backend: BACKEND,
-            rate: asked.rate,
-            age_ms: asked.age_ms,
+            rate: ordered.rate,
+            age_ms: ordered.age_ms,
             priority: 0,
         }
     }
--- a/crates/coursestand-routing/tests/rate_limits/picks.rs
+++ b/crates/coursestand-routing/tests/rate_limits/picks.rs
@@ -1,5 +1,5 @@
-//! Picks among back ends of which some have a rate limit, beside what else keeps a back end
-//! out.
+//! Picks among back ends of which some are rate-limited, combined with the other conditions that
+//! exclude a back end.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
 use coursestand_routing::picker::{Balance, Place};
-use coursestand_routing::rate_limit::{AccessBy, Reading};
+use coursestand_routing::rate_limit::{AccessMode, Reading};
 use coursestand_routing::{
-    Backends, LimitAccess, PickRequest, Picker, Rate, RateWord, Refusal, SendToken,
+    Backends, LimitAccess, PickRequest, Picker, Rate, RateLimitSignal, Refusal, SendToken,
 };
 use googletest::prelude::*;
 
@@ -20,9 +20,9 @@
 const DAEMONS: usize = 12;
 const NO_TOKEN: LimitAccess = LimitAccess {
     daemons: DAEMONS,
-    by: AccessBy::Sending {
+    mode: AccessMode::Send {
         token: None,
-        own_part: None,
+        fallback_share: None,
     },
 };
 
@@ -31,11 +31,11 @@
         backend,
         valid_until,
     });
-    let by = AccessBy::Sending {
+    let mode = AccessMode::Send {
         token,
-        own_part: None,
+        fallback_share: None,
     };
-    LimitAccess { by, ..NO_TOKEN }
+    LimitAccess { mode, ..NO_TOKEN }
 }
 
 fn id(number: usize) -> BackendId {
@@ -64,9 +64,9 @@
     backends
 }
 
-fn limit(backends: &mut Backends, number: usize) {
+fn set_limit(backends: &mut Backends, number: usize) {
     let reading = Reading {
-        word: RateWord::Limited(Rate::per_second(5.0)),
+        signal: RateLimitSignal::Limited(Rate::per_second(5.0)),
         sent_at: 0,
         is_whole: true,
     };
@@ -115,37 +115,37 @@
     picked.map(|pick| pick.id)
 }
 
-/// Guards against a region that keeps its keys though all of its back ends are at their limit.
+/// Guards against keys that stay in a region where all back ends are at their limit.
 #[gtest]
-fn where_a_whole_region_is_limited_another_one_serves() {
+fn another_region_serves_if_all_back_ends_of_a_region_are_rate_limited() {
     let mut backends = fleet(5, 2);
-    (0..5).for_each(|number| limit(&mut backends, number));
+    (0..5).for_each(|number| set_limit(&mut backends, number));
     for key in 0..50 {
         let picked = pick(&backends, key, NO_TOKEN);
         expect_that!(picked, ok(any![eq(&id(5)), eq(&id(6))]), "key {key}");
     }
 }
 
-/// Guards against the last resort, which goes round other checks, going round the limit.
+/// Guards against bypassing the rate limit in the last resort, which bypasses other checks.
 #[gtest]
-fn a_limited_back_end_is_no_last_resort() {
+fn a_rate_limited_back_end_is_no_last_resort() {
     let mut backends = fleet(2, 0);
-    limit(&mut backends, 0);
+    set_limit(&mut backends, 0);
     backends.note_unreachable(NOW, &id(0));
     backends.note_unreachable(NOW, &id(1));
     for key in 0..20 {
         expect_that!(pick(&backends, key, NO_TOKEN), ok(eq(&id(1))));
     }
-    limit(&mut backends, 1);
+    set_limit(&mut backends, 1);
     let refusal = pick(&backends, 0, NO_TOKEN);
     expect_that!(refusal, err(matches_pattern!(Refusal::RateLimited { .. })));
 }
 
-/// Guards against a token for one back end that opens another.
+/// Guards against using a token for a back end other than its own.
 #[gtest]
-fn a_token_admits_to_its_back_end_alone_and_for_its_time() {
+fn a_token_admits_only_to_its_back_end_and_until_it_expires() {
     let mut backends = fleet(2, 0);
-    (0..2).for_each(|number| limit(&mut backends, number));
+    (0..2).for_each(|number| set_limit(&mut backends, number));
     let memory = backends.get(&id(1)).map(|backend| backend.memory);
     let access = |valid_until| with_token(memory, valid_until);
     for key in 0..20 {
@@ -154,11 +154,11 @@
     }
 }
 
-/// Guards against a limit that opens a back end which another bound keeps out.
+/// Guards against a token that admits to a back end which another condition excludes.
 #[gtest]
-fn of_several_bounds_each_holds() {
+fn a_token_overrides_neither_a_backoff_nor_draining() {
     let mut backends = fleet(1, 0);
-    limit(&mut backends, 0);
+    set_limit(&mut backends, 0);
     let memory = backends.get(&id(0)).map(|backend| backend.memory);
     let access = with_token(memory, NOW);
     expect_that!(pick(&backends, 0, access).is_ok(), eq(true));
@@ -168,17 +168,17 @@
         err(eq(&Refusal::BackingOff { ends_in_ms: 500 }))
     );
     let mut backends = fleet(1, 0);
-    limit(&mut backends, 0);
+    set_limit(&mut backends, 0);
     backends.note_draining(NOW, &id(0));
     expect_that!(pick(&backends, 0, access), err(eq(&Refusal::NoBackend)));
 }
 
-/// Guards against callers that are told to come back before any token is free.
+/// Guards against telling callers to retry before any token is available.
 #[gtest]
-fn a_refusal_names_the_first_token_or_the_first_end_of_a_backoff() {
+fn a_refusal_states_when_the_first_back_end_is_available_again() {
     let mut backends = fleet(3, 0);
     for (number, again_in_ms) in [(0, 400), (1, 250)] {
-        limit(&mut backends, number);
+        set_limit(&mut backends, number);
         let memory = backends.get(&id(number)).map(|backend| backend.memory);
         backends.note_denied(NOW, memory.unwrap_or_default(), again_in_ms, 0);
     }
@@ -189,19 +189,23 @@
     expect_that!(pick(&backends, 0, NO_TOKEN), err(eq(&refused)));
 }
 
-/// Guards against a rush when a limit is lifted: daemons that went without come back together.
+/// Guards against a burst when a limit is lifted, as all daemons resume sending at the same time.
 #[gtest]
-fn a_back_end_whose_limit_is_lifted_takes_one_request_at_a_time_first() {
+fn a_back_end_whose_limit_was_lifted_gets_one_request_at_a_time_at_first() {
     let mut backends = fleet(1, 0);
-    limit(&mut backends, 0);
+    set_limit(&mut backends, 0);
     let reading = Reading {
-        word: RateWord::Unlimited,
+        signal: RateLimitSignal::Unlimited,
         sent_at: NOW + 1,
         is_whole: true,
     };
     backends.note_rate(NOW + 2, &id(0), reading);
-    let room = |backends: &Backends| backends.get(&id(0)).is_some_and(|one| one.has_room(NOW));
-    expect_that!(room(&backends), eq(true));
+    let has_capacity = |backends: &Backends| {
+        backends
+            .get(&id(0))
+            .is_some_and(|backend| backend.has_room(NOW))
+    };
+    expect_that!(has_capacity(&backends), eq(true));
     backends.start(&id(0));
-    expect_that!(room(&backends), eq(false));
+    expect_that!(has_capacity(&backends), eq(false));
 }
--- a/crates/coursestand-routing/tests/rate_limits/schedule.rs
+++ b/crates/coursestand-routing/tests/rate_limits/schedule.rs
@@ -1,79 +1,79 @@
-//! What is played, and what it comes to.
+//! Scenario of a simulation, and its outcome.
 
 use std::time::{Duration, Instant};
 
 use coursestand_model::Millis;
 
-/// How daemons keep to a limit.
+/// Scheme by which daemons keep to a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheme {
-    /// By tokens, as the product does.
+    /// Tokens, the scheme of the product.
     Tokens,
-    /// Each daemon keeps to the whole limit by itself.
+    /// Each daemon uses the whole limit on its own.
     WholeLimitEach,
-    /// Each daemon keeps to its part, and begins with one request.
-    PartEach,
+    /// Each daemon uses an equal share, and starts with one token.
+    ShareEach,
     /// No daemon sends to a limited back end.
     Nothing,
 }
 
-/// What harms a deployment.
+/// Fault of a process or a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum Fault {
     Kill {
         daemon: usize,
-        lasts: Millis,
+        duration_ms: Millis,
     },
     Freeze {
         daemon: usize,
-        lasts: Millis,
+        duration_ms: Millis,
     },
-    Cut {
+    Disconnect {
         daemon: usize,
-        lasts: Millis,
+        duration_ms: Millis,
     },
-    /// No control process leads; another one does later, or none that knows anything.
+    /// The leader stops, and another control process leads after this time.
     LoseLeader {
-        lasts: Millis,
+        duration_ms: Millis,
     },
 }
 
-/// What is played.
+/// Scenario of a simulation.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub daemons: usize,
-    /// Requests a second whose first choice is the back end, at all daemons together.
+    /// Requests per second whose first choice is the back end, at all daemons together.
     pub demand: f64,
-    pub lasts: Millis,
-    /// From when the back end names which limit.
+    pub duration_ms: Millis,
+    /// Limits of the back end, each with its start; `None` is no limit.
     pub limits: Vec<(Millis, Option<f64>)>,
-    pub harms: Vec<(Millis, Harm)>,
-    /// Of a hundred answers, those that are cut.
-    pub cut_answers: u32,
-    /// Of a hundred requests for tokens, those that are lost.
-    pub lost_asks: u32,
+    pub faults: Vec<(Millis, Fault)>,
+    /// Percentage of answers that are truncated.
+    pub truncated_answers_percent: u32,
+    /// Percentage of token requests that are lost.
+    pub lost_token_requests_percent: u32,
 }
 
 /// A request that reached the back end.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrived {
+pub struct Arrival {
     pub at: Millis,
-    /// For how long its daemon had been told of the limit by the back end, in this life.
-    pub told_ms: Option<Millis>,
+    /// Time since this incarnation of the daemon first received the limit from the back end.
+    pub limit_received_ms_ago: Option<Millis>,
 }
 
-/// What a run came to.
-pub struct Played {
-    pub arrived: Vec<Arrived>,
-    /// When every daemon first knew the limit.
+/// Outcome of a simulation.
+pub struct Outcome {
+    pub arrivals: Vec<Arrival>,
+    /// Time from which every daemon knew the limit.
     pub known_at: Millis,
-    /// Requests whose first choice was the back end.
-    pub asked: Vec<Millis>,
+    /// Times of the requests whose first choice was the back end.
+    pub requested: Vec<Millis>,
 }
 
-/// Moments of the world as those of a clock, for the judge.
+/// Converts simulation times to instants, for the check of the bounds.
 pub fn instants(arrived: impl Iterator<Item = Millis>) -> Vec<Instant> {
     let start = Instant::now();
-    let moment = |at| start + Duration::from_millis(at);
-    arrived.map(moment).collect()
+    let instant = |at| start + Duration::from_millis(at);
+    arrived.map(instant).collect()
 }
