--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -9,7 +9,7 @@
 
 use crate::backoff::Backoff;
 use crate::hash::{combine, hash_of};
-use crate::rate_limit::{KnownLimit, LimitAccess, LimitChange, Rate, RateWord, Reading};
+use crate::rate_limit::{KnownLimit, LimitAccess, LimitChange, Rate, RateLimitSignal, Reading};
 
 /// First ejection time of a back end that refuses connections; doubles with each further
 /// failure.
@@ -38,7 +38,7 @@
     /// Whether it is draining: it accepts no new requests and terminates soon.
     pub is_draining: bool,
     /// The maximum rate that it accepts from all daemons together.
-    pub rate: RateWord,
+    pub rate: RateLimitSignal,
 }
 
 /// Time constant of the average of the reported load.
@@ -395,7 +395,7 @@
         id: &BackendId,
         reading: Reading,
     ) -> Option<LimitChange> {
-        self.change_limit(id, |limit| KnownLimit::read(limit, now, reading))
+        self.change_limit(id, |limit| KnownLimit::apply_reading(limit, now, reading))
     }
 
     /// Records that this incarnation reported a rate limit to other daemons at `named_at`.
@@ -406,7 +406,9 @@
         rate: Rate,
     ) -> Option<LimitChange> {
         let id = self.find_incarnation(incarnation_hash)?.instance.id.clone();
-        self.change_limit(&id, |limit| KnownLimit::hear(limit, named_at, rate))
+        self.change_limit(&id, |limit| {
+            KnownLimit::apply_reported(limit, named_at, rate)
+        })
     }
 
     /// Records that this incarnation reported to another daemon at `lifted_at` that it has
@@ -417,7 +419,9 @@
         incarnation_hash: u64,
     ) -> Option<LimitChange> {
         let id = self.find_incarnation(incarnation_hash)?.instance.id.clone();
-        self.change_limit(&id, |limit| KnownLimit::hear_lifted(limit, lifted_at))
+        self.change_limit(&id, |limit| {
+            KnownLimit::apply_reported_lift(limit, lifted_at)
+        })
     }
 
     /// Records that control denied a token for this incarnation; see
@@ -444,9 +448,9 @@
             return;
         };
         if limit.is_divided(daemons) {
-            limit.note_part_used(now, daemons);
+            limit.note_divided_share_used(now, daemons);
         } else {
-            limit.note_own_turn(now);
+            limit.note_fallback_turn(now);
         }
     }
 
