--- a/crates/coursestand-daemon/src/fleet/catalog_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_follower.rs
@@ -45,12 +45,12 @@
 
     /// Newest change that is in force here.
     pub fn version(&self) -> u64 {
-        self.state.beliefs().catalog.version()
+        self.state.routing().catalog.version()
     }
 
     /// Whether nothing was ever told.
     pub fn is_empty(&self) -> bool {
-        self.state.beliefs().catalog.is_empty()
+        self.state.routing().catalog.is_empty()
     }
 
     /// Milliseconds since the moment before which every acknowledged change is known
--- a/crates/coursestand-daemon/src/fleet/control_link.rs
+++ b/crates/coursestand-daemon/src/fleet/control_link.rs
@@ -12,8 +12,8 @@
 
 use coursestand_discovery::EdgePhase;
 use coursestand_model::Millis;
-use coursestand_proxy::tokens::LimitNote;
-use coursestand_proxy::trials::CaseNote;
+use coursestand_proxy::tokens::RateLimitMessage;
+use coursestand_proxy::trials::CrashRecordMessage;
 use coursestand_routing::SharedFinding;
 use coursestand_transport::stream::{self, Receiver, Sender, StreamError};
 use futures::StreamExt;
@@ -86,11 +86,11 @@
     /// Whether the control process passes that on.
     passes_findings: bool,
     /// What this daemon tells of requests under which back ends ended.
-    case_notes: broadcast::Receiver<CaseNote>,
+    crash_record_messages: broadcast::Receiver<CrashRecordMessage>,
     /// Whether the control process reads that.
     reads_cases: bool,
     /// What this daemon tells of rate limits of back ends.
-    limit_notes: broadcast::Receiver<LimitNote>,
+    rate_limit_messages: broadcast::Receiver<RateLimitMessage>,
     /// Whether the control process reads that.
     reads_limits: bool,
     /// What is sent next. It stays here until it is, since sending may be broken off: what
@@ -186,10 +186,10 @@
 }
 
 /// The message that tells `control` of a rate limit, if it is to hear it.
-fn message_of(note: LimitNote, control: SocketAddr) -> Option<ToControl> {
+fn message_of(note: RateLimitMessage, control: SocketAddr) -> Option<ToControl> {
     match note {
-        LimitNote::News(news) => Some(ToControl::Limits(vec![news])),
-        LimitNote::Token {
+        RateLimitMessage::Update(news) => Some(ToControl::Limits(vec![news])),
+        RateLimitMessage::Token {
             to,
             number,
             request,
@@ -228,9 +228,9 @@
             told_have: have,
             findings: follower.findings(),
             passes_findings: false,
-            case_notes: follower.case_notes(),
+            crash_record_messages: follower.crash_record_messages(),
             reads_cases: false,
-            limit_notes: follower.limit_notes(),
+            rate_limit_messages: follower.rate_limit_messages(),
             reads_limits: false,
             outgoing: VecDeque::new(),
         })
@@ -295,17 +295,17 @@
                         self.outgoing.push_back(ToControl::Findings(vec![found]));
                     }
                 }
-                note = self.case_notes.recv(), if self.reads_cases => match note {
-                    Ok(CaseNote::Trial(case)) => {
+                note = self.crash_record_messages.recv(), if self.reads_cases => match note {
+                    Ok(CrashRecordMessage::Trial(case)) => {
                         self.outgoing.push_back(ToControl::AskForTrial(case));
                     }
-                    Ok(CaseNote::Known(case)) => {
+                    Ok(CrashRecordMessage::Report(case)) => {
                         self.outgoing.push_back(ToControl::Cases(vec![case]));
                     }
                     // A slow connection missed some: whoever asked is refused for now.
                     Err(_) => {}
                 },
-                note = self.limit_notes.recv(), if self.reads_limits => {
+                note = self.rate_limit_messages.recv(), if self.reads_limits => {
                     // A slow connection missed some: whoever asked goes without a token.
                     if let Ok(note) = note {
                         self.outgoing.extend(message_of(note, control));
@@ -396,16 +396,16 @@
             }
             ToEdge::Trial(verdict) => follower.take_verdict(verdict),
             ToEdge::Limits(limits) => {
-                follower.state().adopt_limits(&limits);
+                follower.state().adopt_rate_limits(&limits);
                 if !self.reads_limits {
                     self.reads_limits = true;
-                    let known = follower.state().told_limits();
+                    let known = follower.state().local_rate_limits();
                     self.outgoing.push_back(ToControl::Limits(known));
                 }
             }
             ToEdge::Token { number, verdict } => {
                 let state = follower.state();
-                state.take_token_verdict(control, number, &verdict);
+                state.handle_token_verdict(control, number, &verdict);
             }
             message => follower.take(control, message),
         }
--- a/crates/coursestand-daemon/src/fleet/edge_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_follower.rs
@@ -9,8 +9,8 @@
 
 use coursestand_discovery::{EdgePhase, EdgeRecord, LinkUse};
 use coursestand_model::Millis;
-use coursestand_proxy::tokens::LimitNote;
-use coursestand_proxy::trials::CaseNote;
+use coursestand_proxy::tokens::RateLimitMessage;
+use coursestand_proxy::trials::CrashRecordMessage;
 use coursestand_proxy::{EdgeState, LinkWatch};
 use coursestand_routing::hash::{combine, hash_of};
 use coursestand_routing::{SharedCase, SharedFinding, TrialVerdict};
@@ -370,28 +370,28 @@
     }
 
     /// What this daemon tells of rate limits of back ends.
-    pub(super) fn limit_notes(&self) -> broadcast::Receiver<LimitNote> {
-        self.state.limit_notes()
+    pub(super) fn rate_limit_messages(&self) -> broadcast::Receiver<RateLimitMessage> {
+        self.state.rate_limit_messages()
     }
 
     /// What this daemon tells of requests under which back ends ended.
-    pub(super) fn case_notes(&self) -> broadcast::Receiver<CaseNote> {
-        self.state.case_notes()
+    pub(super) fn crash_record_messages(&self) -> broadcast::Receiver<CrashRecordMessage> {
+        self.state.crash_record_messages()
     }
 
     /// What it knows of them.
     pub(super) fn told_cases(&self) -> Vec<SharedCase> {
-        self.state.told_cases()
+        self.state.crash_records()
     }
 
     /// Takes in what a control process knows of them.
     pub(super) fn take_cases(&self, cases: &[SharedCase]) {
-        self.state.adopt_cases(cases);
+        self.state.adopt_crash_records(cases);
     }
 
     /// Takes the answer to the wish to try one of them.
     pub(super) fn take_verdict(&self, verdict: TrialVerdict) {
-        self.state.take_verdict(verdict);
+        self.state.handle_trial_verdict(verdict);
     }
 
     /// Takes in what a control process tells.
--- a/crates/coursestand-daemon/src/fleet/edge_service.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_service.rs
@@ -13,7 +13,7 @@
 use coursestand_kernel::{Health, MonotonicClock, Registry, Service, ServiceError, Tasks};
 use coursestand_model::fleet::FleetSettings;
 use coursestand_proxy::caller_limits::CallerLimits;
-use coursestand_proxy::edge_state::{Beliefs, EdgeBounds};
+use coursestand_proxy::edge_state::{EdgeBounds, RoutingState};
 use coursestand_proxy::metrics::ProxyMetrics;
 use coursestand_proxy::pool::Pool;
 use coursestand_proxy::router::Router;
@@ -76,12 +76,12 @@
         self.follower.update_metrics();
         self.metrics.idle.set(self.pool.idle_count() as i64);
         let now = self.state.now();
-        let beliefs = self.state.beliefs();
+        let routing = self.state.routing();
         let count = |is_counted: &dyn Fn(&Backend) -> bool| {
-            let backends = beliefs.backends.iter();
+            let backends = routing.backends.iter();
             backends.filter(|backend| is_counted(backend)).count() as i64
         };
-        self.metrics.catalog.set(beliefs.catalog.version() as i64);
+        self.metrics.catalog.set(routing.catalog.version() as i64);
         self.metrics.backends.set(count(&|_| true));
         self.metrics
             .cold
@@ -92,26 +92,26 @@
         self.metrics
             .backing_off
             .set(count(&|backend| backend.backs_off(now)));
-        let limited = beliefs.backends.limited();
+        let limited = routing.backends.limited();
         self.metrics.rate_limited.set(limited as i64);
-        let cases = beliefs.fatal.views(now);
+        let cases = routing.fatal.views(now);
         let convicted = cases.iter().filter(|case| case.rejected_ms > 0).count();
         self.metrics.convicted.set(convicted as i64);
         self.metrics.suspects.set((cases.len() - convicted) as i64);
-        self.update_retry_metrics(&beliefs);
+        self.update_retry_metrics(&routing);
     }
 
     /// Shows the budget of each service, also of one without requests so far.
-    fn update_retry_metrics(&self, beliefs: &Beliefs) {
+    fn update_retry_metrics(&self, routing: &RoutingState) {
         let now = self.state.now();
         let limits = self.state.bounds().retries;
-        let allowance = &beliefs.allowance;
+        let allowance = &routing.allowance;
         self.metrics
             .retry_daemons
             .set(allowance.daemons(now) as i64);
-        for service in beliefs.catalog.services() {
-            self.exchange.metrics().show_retries(service);
-            let budget = beliefs.budgets.get(service);
+        for service in routing.catalog.services() {
+            self.exchange.metrics().init_retry_counters(service);
+            let budget = routing.budgets.get(service);
             let left = budget.map(|budget| budget.left(now, limits, allowance));
             let held = budget.map(|budget| budget.held(now, limits) as f64);
             let service = [service.as_str()];
@@ -272,7 +272,7 @@
         let stop = self.settings.bounds.stop.duration();
         let end = Instant::now() + stop.saturating_sub(RESERVE + ANSWER_RESERVE);
         running.follower.set_phase(EdgePhase::Draining);
-        running.exchange.ends_at(end);
+        running.exchange.set_stop_time(end);
         running.server.announce_stop();
         let ttl = Duration::from_millis(lookup_ttl(&self.settings));
         let served_on = ANNOUNCE + ttl * TTL_FACTOR;
@@ -304,9 +304,9 @@
         let trust = self.balance().trust;
         let follower = running.follower.dump();
         let idle_connections = running.pool.idle_count();
-        let beliefs = running.state.beliefs();
+        let routing = running.state.routing();
         let now = running.state.now();
-        let backends: Vec<Value> = beliefs
+        let backends: Vec<Value> = routing
             .backends
             .iter()
             .map(|backend| {
@@ -329,11 +329,11 @@
                 })
             })
             .collect();
-        let retry_budgets: BTreeMap<&str, f64> = beliefs
+        let retry_budgets: BTreeMap<&str, f64> = routing
             .budgets
             .iter()
             .map(|(service, budget)| {
-                let left = budget.left(now, running.state.bounds().retries, &beliefs.allowance);
+                let left = budget.left(now, running.state.bounds().retries, &routing.allowance);
                 (service.as_str(), left)
             })
             .collect();
@@ -341,13 +341,13 @@
             "follower": follower,
             "retry_budgets": retry_budgets,
             "retry_allowance": {
-                "daemons": beliefs.allowance.daemons(now),
-                "part": beliefs.allowance.part(now),
+                "daemons": routing.allowance.daemons(now),
+                "part": routing.allowance.part(now),
             },
-            "catalog_version": beliefs.catalog.version(),
-            "daemons": beliefs.daemons,
+            "catalog_version": routing.catalog.version(),
+            "daemons": routing.daemons,
             "backends": backends,
-            "requests_that_end_back_ends": beliefs.fatal.views(now),
+            "requests_that_end_back_ends": routing.fatal.views(now),
             "unread_answer_headers": running.exchange.unread_headers().views(),
             "idle_connections": idle_connections,
         })
@@ -371,7 +371,7 @@
 ) -> Result<HttpServer, coursestand_kernel::http::HttpError> {
     let endpoint = poem::endpoint::make_sync(move |request: Request| {
         let call = dialect.parse(request.method(), request.original_uri(), &[]);
-        let is_ready = follower.phase() == EdgePhase::Ready && server.takes_callers();
+        let is_ready = follower.phase() == EdgePhase::Ready && server.is_accepting();
         let status = match call {
             Ok(Call::Ready) if is_ready => StatusCode::OK,
             Ok(Call::Ready) => StatusCode::SERVICE_UNAVAILABLE,
@@ -388,13 +388,13 @@
         running.update_link_use();
         tokio::time::sleep(ROUND).await;
         let (known, limits) = {
-            let beliefs = running.state.beliefs();
-            let known: std::collections::HashSet<_> = beliefs
+            let routing = running.state.routing();
+            let known: std::collections::HashSet<_> = routing
                 .backends
                 .iter()
                 .map(|backend| backend.instance.incarnation())
                 .collect();
-            let limits = beliefs.catalog.limits().map(CallerLimits::of);
+            let limits = routing.catalog.limits().map(CallerLimits::of);
             (known, limits)
         };
         running.pool.close_idle(|id| known.contains(id));
--- a/crates/coursestand-daemon/tests/following/daemon.rs
+++ b/crates/coursestand-daemon/tests/following/daemon.rs
@@ -99,7 +99,7 @@
     }
 
     pub fn catalog(&self) -> u64 {
-        self.state.beliefs().catalog.version()
+        self.state.routing().catalog.version()
     }
 
     pub fn is_ready(&self) -> bool {
--- a/crates/coursestand-daemon/tests/following/large_change.rs
+++ b/crates/coursestand-daemon/tests/following/large_change.rs
@@ -48,8 +48,8 @@
 }
 
 fn phase_at(daemon: &Daemon) -> Option<InstancePhase> {
-    let beliefs = daemon.state.beliefs();
-    let mut backends = beliefs.backends.iter();
+    let routing = daemon.state.routing();
+    let mut backends = routing.backends.iter();
     backends.next().map(|backend| backend.instance.phase)
 }
 
--- a/crates/coursestand-daemon/tests/following/stale_catalog.rs
+++ b/crates/coursestand-daemon/tests/following/stale_catalog.rs
@@ -137,7 +137,7 @@
         control.set_table(Duration::ZERO, names.clone());
     }
     let daemon = Daemon::start(&addresses(&controls));
-    let count = || daemon.state.beliefs().daemons.len();
+    let count = || daemon.state.routing().daemons.len();
     time_until("the list is there", || count() == 65).await;
     time_until("the daemon is ready", || daemon.is_ready()).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/coursestand-proxy/src/answer_times.rs
+++ b/crates/coursestand-proxy/src/answer_times.rs
@@ -1,9 +1,9 @@
-//! How long the first bytes of an answer usually take, and from when on a connection
-//! that brings none is taken for silent.
+//! Tracks how long the first bytes of an answer usually take, and after what time a connection
+//! without an answer counts as silent.
 //!
-//! A connection may fall silent without an end or a reset. The system notices that
-//! where bytes stay unconfirmed (see [`crate::connect`]); where a machine between
-//! confirms them, only the missing answer shows it.
+//! A connection may fall silent without being closed or reset. The system detects that if sent
+//! bytes are not acknowledged (see [`crate::connect`]); if a machine in between acknowledges
+//! them, only the missing answer shows it.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,26 +13,25 @@
 
 use crate::smoothed_time::SmoothedTime;
 
-/// Times the usual limit after which an answer counts as missing. The limit itself is
-/// passed by a queue that builds up; a request that is broken off while it is worked on
-/// costs its work, and one on a silent connection only waits longer.
-const FACTOR: u32 = 3;
-/// Least time after which an answer counts as missing: back ends that answer within
-/// milliseconds stop for longer than that now and then.
-const LEAST_LIMIT: Duration = Duration::from_millis(500);
-/// A process that stood still finds its timers due before it has read what came
-/// meanwhile; this long it reads before it believes them.
+/// Factor on the usual limit after which an answer counts as missing. A growing queue exceeds
+/// the limit itself; aborting a request that is being worked on wastes the work, while a
+/// request on a silent connection only waits longer.
+const SILENCE_FACTOR: u32 = 3;
+/// Minimum time after which an answer counts as missing: back ends that answer within
+/// milliseconds occasionally pause for longer than that.
+const MIN_SILENCE_LIMIT: Duration = Duration::from_millis(500);
+/// After a suspension of the process its timers expire before it has read the bytes received
+/// in the meantime; this much more time is given to read them.
 pub(crate) const READING_GRACE: Duration = Duration::from_millis(20);
 
 /// Times from a request to the first bytes of its answer, by service and zone.
 ///
-/// An answer counts as missing after [`Self::silence_limit`]: three times the usual
-/// limit (smoothed time and four deviations), half a second at least. A request is
-/// repeated then if as much of its time is left, so it waits half of its time at most.
-/// So a request that may be repeated, on a connection that has
-/// fallen silent, waits that long and one answer's time more, instead of until its
-/// deadline: 0.53 s instead of 4.08 s at back ends that answer within 30 ms
-/// (`tests/silent_connections.rs`).
+/// An answer counts as missing after [`Self::silence_limit`]: three times the usual limit
+/// (smoothed time and four deviations), but at least half a second. The request is then
+/// repeated if at least as much of its time is left, so it waits for at most half of its time.
+/// A request that may be repeated, on a connection that has fallen silent, thus waits for that
+/// limit and the time of one more answer instead of until its deadline: 0.53 s instead of
+/// 4.08 s at back ends that answer within 30 ms (`tests/silent_connections.rs`).
 #[derive(Debug, Default)]
 pub(crate) struct AnswerTimes(Mutex<HashMap<ServiceId, HashMap<ZoneId, SmoothedTime>>>);
 
@@ -41,12 +40,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The first bytes of an answer came after this time.
+    /// Records the time until the first bytes of an answer.
     pub(crate) fn note(&self, service: &ServiceId, zone: &ZoneId, took: Duration) {
         let mut times = self.times();
         let known = times.get_mut(service).and_then(|zones| zones.get_mut(zone));
         match known {
-            Some(time) => time.take(took),
+            Some(time) => time.update(took),
             None => {
                 let zones = times.entry(service.clone()).or_default();
                 zones.insert(zone.clone(), SmoothedTime::first(took));
@@ -54,10 +53,10 @@
         }
     }
 
-    /// How long to wait until a connection counts as silent. None where nothing is
-    /// known.
+    /// Returns the time after which a connection counts as silent; none without earlier
+    /// answers.
     pub(crate) fn silence_limit(&self, service: &ServiceId, zone: &ZoneId) -> Option<Duration> {
         let usual = self.times().get(service)?.get(zone)?.limit();
-        Some((usual * FACTOR).max(LEAST_LIMIT))
+        Some((usual * SILENCE_FACTOR).max(MIN_SILENCE_LIMIT))
     }
 }
--- a/crates/coursestand-proxy/src/connect.rs
+++ b/crates/coursestand-proxy/src/connect.rs
@@ -1,4 +1,4 @@
-//! TCP connections that notice a silent peer.
+//! Opens TCP connections that detect a silent peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,38 +7,39 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// The system counts the time between probes in whole seconds.
-const LEAST_PROBE_TIME: Duration = Duration::from_secs(1);
-/// Keep-alive probes that go unanswered before a connection ends: one at half of the
-/// time, and the end with the next.
-const PROBES: u32 = 2;
+/// The system sets the time between probes in whole seconds.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keep-alive probes before the connection is closed: one is sent at half of the
+/// time, and the connection is closed when the next is due.
+const KEEP_ALIVE_PROBES: u32 = 2;
 
-/// Sets a connection up: no delay of small segments, and an end to it when the
-/// peer confirms nothing for `silence`, whether bytes wait for that or not.
+/// Configures a connection: disables the delay of small segments, and has the system close the
+/// connection when the peer has acknowledged nothing for `user_timeout`, whether or not sent
+/// bytes wait for an acknowledgement.
 ///
-/// `TCP_USER_TIMEOUT` alone covers bytes that were sent; probes let it cover a
-/// connection that rests or waits for an answer. The end says that the peer confirmed
-/// nothing, not that it received nothing.
-pub fn prepare(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// `TCP_USER_TIMEOUT` alone covers sent bytes; keep-alive probes extend it to a connection
+/// that is idle or waits for an answer. When the connection is closed this way, the peer has
+/// acknowledged nothing, but it may have received something.
+pub fn configure(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
-    let between = (silence / PROBES).max(LEAST_PROBE_TIME);
+    socket.set_tcp_user_timeout(Some(user_timeout))?;
+    let probe_interval = (user_timeout / KEEP_ALIVE_PROBES).max(MIN_PROBE_INTERVAL);
     let probes = TcpKeepalive::new()
-        .with_time(between)
-        .with_interval(between);
+        .with_time(probe_interval)
+        .with_interval(probe_interval);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Connects within `limit`.
+/// Connects within `limit` and configures the connection.
 pub async fn connect(
     address: SocketAddr,
     limit: Duration,
-    silence: Duration,
+    user_timeout: Duration,
 ) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    prepare(&stream, silence)?;
+    configure(&stream, user_timeout)?;
     Ok(stream)
 }
--- a/crates/coursestand-proxy/src/connect_times.rs
+++ b/crates/coursestand-proxy/src/connect_times.rs
@@ -1,5 +1,5 @@
-//! How long a connection to a back end may take, from how long others to its zone
-//! took.
+//! Time limits for connecting to back ends, derived from earlier connection times to the same
+//! zone.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,12 +9,12 @@
 
 use crate::smoothed_time::SmoothedTime;
 
-/// Limit for a zone to which no connection was made yet.
-const FIRST_LIMIT: Duration = Duration::from_millis(1_000);
-/// Least limit: a back end may hold a new connection up for a moment.
-const LEAST_LIMIT: Duration = Duration::from_millis(400);
+/// Limit for a zone without an earlier connection.
+const INITIAL_LIMIT: Duration = Duration::from_millis(1_000);
+/// Minimum limit: a back end may delay a new connection for a moment.
+const MIN_LIMIT: Duration = Duration::from_millis(400);
 
-/// Times of connections by zone.
+/// Connection times by zone.
 #[derive(Debug, Default)]
 pub struct ConnectTimes(Mutex<HashMap<ZoneId, SmoothedTime>>);
 
@@ -23,20 +23,20 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection to a back end in `zone` was made in this time. Returns how much
-    /// longer that was than the least time seen.
+    /// Records the time that a connection to a back end in `zone` took. Returns by how much it
+    /// exceeds the shortest time so far.
     pub fn note(&self, zone: &ZoneId, took: Duration) -> Duration {
         let mut times = self.times();
         let time = times
             .entry(zone.clone())
-            .and_modify(|time| time.take(took))
+            .and_modify(|time| time.update(took))
             .or_insert_with(|| SmoothedTime::first(took));
-        took.saturating_sub(time.least())
+        took.saturating_sub(time.shortest())
     }
 
-    /// How long a connection to a back end in `zone` may take.
+    /// Returns the time limit for a connection to a back end in `zone`.
     pub fn limit(&self, zone: &ZoneId) -> Duration {
         let known = self.times().get(zone).copied();
-        known.map_or(FIRST_LIMIT, |time| time.limit().max(LEAST_LIMIT))
+        known.map_or(INITIAL_LIMIT, |time| time.limit().max(MIN_LIMIT))
     }
 }
--- a/crates/coursestand-proxy/src/discard.rs
+++ b/crates/coursestand-proxy/src/discard.rs
@@ -1,9 +1,9 @@
-//! Reads on after a refusal, so that it reaches its caller.
+//! Drains the body of a refused request, so that the refusal reaches the caller.
 //!
-//! A connection that is closed with bytes unread is reset, and a caller that still
-//! sends its body then sees a failure that promises nothing, instead of the refusal,
-//! which says that it may come back. Bodies up to [`HELD_BYTES`] are read to their end
-//! and their connections stay usable.
+//! Closing a connection with unread bytes resets it. A caller that is still sending its body
+//! would then see a connection error, which says nothing about whether the request ran,
+//! instead of the refusal, which says when to retry. Bodies of up to [`MAX_BUFFERED_BYTES`]
+//! are read to the end, and their connections stay usable.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::timeout;
 
-use crate::collect::HELD_BYTES;
+use crate::collect::MAX_BUFFERED_BYTES;
 
-/// Longest time for which a refused body is read: at 2 Mbit/s a link brings a quarter
-/// of the longest such body meanwhile, and most are far shorter.
-const READING_TIME: Duration = Duration::from_secs(1);
+/// Longest time for which a refused body is read: a link of 2 Mbit/s transfers a quarter of
+/// the longest such body in this time, and most bodies are far shorter.
+const MAX_READ_TIME: Duration = Duration::from_secs(1);
 
-/// Reads the body of a refused request beside its answer, and forgets it.
+/// Reads the body of a refused request in a background task and discards it.
 pub(crate) fn discard(body: Incoming) {
     if !body.is_end_stream() {
-        tokio::spawn(timeout(READING_TIME, read_on(body)));
+        tokio::spawn(timeout(MAX_READ_TIME, drain(body)));
     }
 }
 
-async fn read_on(mut body: Incoming) {
+async fn drain(mut body: Incoming) {
     let mut read: usize = 0;
-    while read <= HELD_BYTES {
+    while read <= MAX_BUFFERED_BYTES {
         let Some(Ok(frame)) = body.frame().await else {
             return;
         };
--- a/crates/coursestand-proxy/src/edge_state.rs
+++ b/crates/coursestand-proxy/src/edge_state.rs
@@ -1,5 +1,5 @@
-//! What an entry daemon believes: the catalog, the back ends and the other entry
-//! daemons. It is fed by the follower and read by the router.
+//! State of an entry daemon: the catalog, the back ends and the other entry daemons. The
+//! follower updates it and the router reads it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -22,27 +22,27 @@
 };
 use tokio::sync::{broadcast, oneshot};
 
-use crate::tokens::{LimitNote, TokenRequests, answer_of};
-use crate::trials::{CaseNote, TrialRequests};
+use crate::tokens::{RateLimitMessage, TokenRequests, answer_of};
+use crate::trials::{CrashRecordMessage, TrialRequests};
 
 const LOG: &str = "proxy";
-/// Findings that wait for a slow connection to control; further ones replace the oldest.
-const FINDINGS_QUEUE: usize = 256;
+/// Findings queued for a slow connection to control; further ones replace the oldest.
+const FINDING_QUEUE_LENGTH: usize = 256;
 
-/// Bounds of the deployment that an entry daemon keeps.
+/// Limits of the deployment that an entry daemon applies.
 #[derive(Clone, Debug)]
 pub struct EdgeBounds {
-    /// Bound on requests that are sent again.
+    /// Limits on retries.
     pub retries: RetryLimits,
-    /// After an evacuation ends, back ends of the zone get nothing for this
-    /// long: their heartbeats tell by then whether they have turned cold.
+    /// After an evacuation ends, back ends of the zone get no requests for this long: by then
+    /// their heartbeats report whether they are cold.
     pub settle_ms: Millis,
-    /// How long a daemon waits before it takes a cold back end over from another.
+    /// How long a daemon waits before it takes over a cold back end from another daemon.
     pub hand_over_ms: Millis,
 }
 
-/// The beliefs, all under one lock: decisions take microseconds.
-pub struct Beliefs {
+/// The state that routing decisions read, all under one lock: a decision takes microseconds.
+pub struct RoutingState {
     /// Configuration in force.
     pub catalog: Catalog,
     /// Routes of the catalog.
@@ -51,46 +51,46 @@
     pub backends: Backends,
     /// Picks back ends.
     pub picker: Picker,
-    /// Names of the entry daemons that are connected, this one among them.
+    /// Names of the connected entry daemons, including this one.
     pub daemons: BTreeSet<String>,
-    /// Who owns cold back ends.
+    /// Owners of cold back ends.
     pub owners: OwnerViews,
     /// Retry budgets by service.
     pub budgets: HashMap<ServiceId, RetryBudget>,
-    /// This daemon's part of the retries that the deployment may make besides.
+    /// This daemon's share of the deployment's fixed retry allowance.
     pub allowance: RetryAllowance,
-    /// Requests that ended back ends.
+    /// Requests that crash back ends.
     pub fatal: FatalRequests,
-    /// Whether the daemon has been connected with a majority of the control processes
-    /// since it started: it knows by then which requests end back ends.
-    pub is_informed: bool,
-    /// Other daemons that say which back ends drain.
+    /// Whether the daemon has been connected to a majority of the control processes since it
+    /// started, and so has received the crash records.
+    pub is_synced: bool,
+    /// Reports of other daemons on draining back ends.
     pub draining: BackendReports,
-    /// Other daemons that were told rate limits.
+    /// Reports of other daemons on rate limits that back ends announced to them.
     pub limit_reports: BackendReports,
-    /// Where the routes stand in dividing requests, by name.
+    /// State of the weighted splits by route name.
     pub splits: HashMap<String, SplitState>,
 }
 
-/// Shared beliefs of an entry daemon.
+/// Shared state of an entry daemon.
 pub struct EdgeState {
     clock: MonotonicClock,
     bounds: EdgeBounds,
-    beliefs: Mutex<Beliefs>,
-    /// What other daemons are to hear of back ends.
+    routing: Mutex<RoutingState>,
+    /// Findings about back ends to send to other daemons.
     findings: broadcast::Sender<SharedFinding>,
     trials: TrialRequests,
     tokens: TokenRequests,
 }
 
-impl Beliefs {
-    /// Another daemon saw a back end end, or say that it drains.
-    fn hear_of_back_end(&mut self, now: Millis, shared: &SharedFinding) {
+impl RoutingState {
+    /// Applies a finding of another daemon: a back end crashed or is draining.
+    fn apply_remote_finding(&mut self, now: Millis, shared: &SharedFinding) {
         match shared.finding {
             Finding::Ended { backend, .. } => self.backends.note_ended_elsewhere(now, backend),
             Finding::Drains { backend } => {
-                let is_enough = self.draining.take(backend, shared.reporter);
-                if is_enough && self.backends.note_draining_elsewhere(now, backend) {
+                let is_confirmed = self.draining.take(backend, shared.reporter);
+                if is_confirmed && self.backends.note_draining_elsewhere(now, backend) {
                     self.picker.invalidate(now);
                 }
             }
@@ -100,16 +100,16 @@
 }
 
 impl EdgeState {
-    /// Beliefs of a daemon at `place` that knows nothing yet.
+    /// Creates the state of a daemon at `place`, without catalog or back ends.
     pub fn new(clock: MonotonicClock, place: Place, bounds: EdgeBounds) -> EdgeState {
         let daemons = BTreeSet::from([place.daemon.clone()]);
-        let own = hash_of(&place.daemon);
+        let own_hash = hash_of(&place.daemon);
         let owners = OwnerViews::new(bounds.hand_over_ms);
         let allowance = RetryAllowance::new(&place.daemon, bounds.retries, bounds.hand_over_ms);
         EdgeState {
             clock,
             bounds,
-            beliefs: Mutex::new(Beliefs {
+            routing: Mutex::new(RoutingState {
                 catalog: Catalog::default(),
                 routes: Arc::default(),
                 backends: Backends::default(),
@@ -119,162 +119,166 @@
                 budgets: HashMap::new(),
                 allowance,
                 splits: HashMap::new(),
-                fatal: FatalRequests::new(own),
-                is_informed: false,
+                fatal: FatalRequests::new(own_hash),
+                is_synced: false,
                 draining: BackendReports::default(),
                 limit_reports: BackendReports::default(),
             }),
-            findings: broadcast::Sender::new(FINDINGS_QUEUE),
+            findings: broadcast::Sender::new(FINDING_QUEUE_LENGTH),
             trials: TrialRequests::default(),
             tokens: TokenRequests::default(),
         }
     }
 
-    /// Milliseconds on the daemon's clock.
+    /// Returns the time on the daemon's clock, in milliseconds.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Bounds of the deployment.
+    /// Returns the limits of the deployment.
     pub fn bounds(&self) -> &EdgeBounds {
         &self.bounds
     }
 
-    /// The beliefs. Never held over a wait, nor while anything else is locked: the
-    /// follower locks them while it holds what it knows of control.
-    pub fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
-        self.beliefs.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the routing state. The lock must not be held across an await point or while any
+    /// other lock is taken: the follower takes it while it holds its own lock on the state of
+    /// control.
+    pub fn routing(&self) -> MutexGuard<'_, RoutingState> {
+        self.routing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in changes of the configuration. Returns whether anything changed.
+    /// Applies configuration changes. Returns whether anything changed.
     pub fn adopt_catalog(&self, delta: CatalogDelta) -> bool {
         let now = self.now();
-        let mut beliefs = self.beliefs();
-        let ended: Vec<ZoneId> = delta
+        let mut routing = self.routing();
+        let ended_evacuations: Vec<ZoneId> = delta
             .evacuations
             .iter()
-            .filter(|(zone, change)| !change.is_active && beliefs.catalog.is_evacuated(zone))
+            .filter(|(zone, change)| !change.is_active && routing.catalog.is_evacuated(zone))
             .map(|(zone, _)| zone.clone())
             .collect();
         let has_items = !delta.items.is_empty();
-        let changed = beliefs.catalog.adopt(delta);
+        let changed = routing.catalog.adopt(delta);
         if !changed {
             return false;
         }
         if has_items {
-            beliefs.routes = Arc::new(RouteTable::new(&beliefs.catalog));
+            routing.routes = Arc::new(RouteTable::new(&routing.catalog));
         }
-        if !ended.is_empty() {
+        if !ended_evacuations.is_empty() {
             let until = now + self.bounds.settle_ms;
-            beliefs
+            routing
                 .backends
-                .hold_back(until, |instance| ended.contains(&instance.zone));
+                .hold_back(until, |instance| ended_evacuations.contains(&instance.zone));
         }
-        beliefs.picker.invalidate(now);
+        routing.picker.invalidate(now);
         true
     }
 
-    /// Takes in news of back ends.
-    pub fn adopt_instances(&self, news: Vec<InstanceNews>) {
+    /// Applies updates of back ends.
+    pub fn adopt_instances(&self, updates: Vec<InstanceNews>) {
         let now = self.now();
-        let mut beliefs = self.beliefs();
+        let mut routing = self.routing();
         let mut changed = false;
-        for one in news {
-            changed |= beliefs.backends.merge(now, one);
+        for update in updates {
+            changed |= routing.backends.merge(now, update);
         }
         if changed {
-            beliefs.picker.invalidate(now);
+            routing.picker.invalidate(now);
         }
     }
 
-    /// Takes in what a daemon found out of a back end.
+    /// Applies a daemon's finding about a back end.
     pub fn adopt_finding(&self, shared: &SharedFinding) {
         let now = self.now();
-        let mut beliefs = self.beliefs();
-        if shared.reporter != beliefs.fatal.own() {
-            beliefs.hear_of_back_end(now, shared);
+        let mut routing = self.routing();
+        if shared.reporter != routing.fatal.own() {
+            routing.apply_remote_finding(now, shared);
         }
         if let Finding::Ended { backend, .. } = shared.finding {
-            let budgets = beliefs.budgets.values_mut();
+            let budgets = routing.budgets.values_mut();
             budgets.for_each(|budget| budget.unsettled().forget(backend));
         }
-        let changes = beliefs.fatal.take(now, shared);
-        drop(beliefs);
-        tell_news(changes, Some(shared));
+        let changes = routing.fatal.take(now, shared);
+        drop(routing);
+        log_crash_record_changes(changes, Some(shared));
     }
 
-    /// Takes in what a control process knows of requests under which back ends ended.
-    pub fn adopt_cases(&self, cases: &[SharedCase]) {
+    /// Merges crash records that a control process sent.
+    pub fn adopt_crash_records(&self, crash_records: &[SharedCase]) {
         let now = self.now();
-        for case in cases {
-            let changes = self.beliefs().fatal.merge(now, case);
-            tell_news(changes, None);
+        for crash_record in crash_records {
+            let changes = self.routing().fatal.merge(now, crash_record);
+            log_crash_record_changes(changes, None);
         }
     }
 
-    /// What this daemon knows of such requests, for a control process.
-    pub fn told_cases(&self) -> Vec<SharedCase> {
-        self.beliefs().fatal.told(self.now())
+    /// Returns this daemon's crash records, to be sent to a control process.
+    pub fn crash_records(&self) -> Vec<SharedCase> {
+        self.routing().fatal.told(self.now())
     }
 
-    /// Asks control for leave to try a request; what is returned ends with the answer.
+    /// Asks control to grant a trial of a request. The returned receiver resolves with the
+    /// answer.
     pub fn ask_for_trial(&self, request: Fingerprint) -> Option<oneshot::Receiver<()>> {
         let now = self.now();
-        let case = self.beliefs().fatal.shared(now, request)?;
-        self.trials.ask(now, case)
+        let crash_record = self.routing().fatal.shared(now, request)?;
+        self.trials.ask(now, crash_record)
     }
 
-    /// Control answered to a daemon that wants to try a request.
-    pub fn take_verdict(&self, verdict: TrialVerdict) {
+    /// Handles the verdict of control on a trial that this daemon asked for.
+    pub fn handle_trial_verdict(&self, verdict: TrialVerdict) {
         let now = self.now();
         let request = match verdict {
-            TrialVerdict::Granted(case) => {
-                let request = case.request;
-                log::info!(target: LOG, fingerprint = request.0, convictions = case.convictions;
+            TrialVerdict::Granted(crash_record) => {
+                let request = crash_record.request;
+                log::info!(target: LOG, fingerprint = request.0, convictions = crash_record.convictions;
                     "a request may be tried once");
-                self.adopt_cases(std::slice::from_ref(&case));
-                self.beliefs().fatal.permit(now, request);
-                // A control process that leads next knows of the trial by this.
-                self.trials.tell(case);
+                self.adopt_crash_records(std::slice::from_ref(&crash_record));
+                self.routing().fatal.permit(now, request);
+                // Reports the trial, so that a control process that becomes leader next has a
+                // record of it.
+                self.trials.report(crash_record);
                 request
             }
-            TrialVerdict::Refused(case) => {
-                self.adopt_cases(std::slice::from_ref(&case));
-                case.request
+            TrialVerdict::Refused(crash_record) => {
+                self.adopt_crash_records(std::slice::from_ref(&crash_record));
+                crash_record.request
             }
             TrialVerdict::Cleared(request) => {
-                let changes = self.beliefs().fatal.clear(now, request);
-                tell_news(changes, None);
+                let changes = self.routing().fatal.clear(now, request);
+                log_crash_record_changes(changes, None);
                 request
             }
         };
         self.trials.answered(request);
     }
 
-    /// What control is told of such requests, from now on.
-    pub fn case_notes(&self) -> broadcast::Receiver<CaseNote> {
-        self.trials.notes()
+    /// Subscribes to messages about crash records and trials for control.
+    pub fn crash_record_messages(&self) -> broadcast::Receiver<CrashRecordMessage> {
+        self.trials.messages()
     }
 
-    /// Requests for tokens for rate-limited back ends.
+    /// Returns the token requests for rate-limited back ends.
     pub fn tokens(&self) -> &TokenRequests {
         &self.tokens
     }
 
-    /// What control is told of rate limits, from now on.
-    pub fn limit_notes(&self) -> broadcast::Receiver<LimitNote> {
-        self.tokens.notes()
+    /// Subscribes to messages about rate limits for control.
+    pub fn rate_limit_messages(&self) -> broadcast::Receiver<RateLimitMessage> {
+        self.tokens.messages()
     }
 
-    /// The rate limits that back ends named to this daemon, for a control process.
-    pub fn told_limits(&self) -> Vec<LimitNews> {
+    /// Returns the rate limits that back ends announced to this daemon, to be sent to a
+    /// control process.
+    pub fn local_rate_limits(&self) -> Vec<LimitNews> {
         let now = self.now();
-        let beliefs = self.beliefs();
-        let own = beliefs.fatal.own();
-        let limited = beliefs.backends.iter().filter_map(|backend| {
+        let routing = self.routing();
+        let own_hash = routing.fatal.own();
+        let limited = routing.backends.iter().filter_map(|backend| {
             let limit = backend.limit().filter(|limit| limit.is_own())?;
             Some(LimitNews {
-                reporter: own,
+                reporter: own_hash,
                 backend: backend.memory,
                 rate: Some(limit.rate()),
                 age_ms: now.saturating_sub(limit.named_at()),
@@ -283,130 +287,133 @@
         limited.collect()
     }
 
-    /// A back end named this limit to this daemon, or none any more.
-    pub fn tell_limit(&self, backend: u64, rate: Option<Rate>) {
-        self.tokens.tell(LimitNews {
-            reporter: self.beliefs().fatal.own(),
+    /// Reports to control the rate limit that a back end announced to this daemon; `None` when
+    /// the limit was lifted.
+    pub fn report_rate_limit(&self, backend: u64, rate: Option<Rate>) {
+        self.tokens.report(LimitNews {
+            reporter: self.routing().fatal.own(),
             backend,
             rate,
             age_ms: 0,
         });
     }
 
-    /// Takes in what other daemons were told of rate limits. A limit that one daemon tells
-    /// alone is not believed.
-    pub fn adopt_limits(&self, news: &[LimitNews]) {
+    /// Applies rate limits that back ends announced to other daemons. A limit that only one
+    /// daemon reports is not applied.
+    pub fn adopt_rate_limits(&self, updates: &[LimitNews]) {
         let now = self.now();
-        let mut beliefs = self.beliefs();
-        let own = beliefs.fatal.own();
-        for one in news.iter().filter(|one| one.reporter != own) {
-            let Some(rate) = one.rate else {
-                beliefs.limit_reports.forget(one.backend);
+        let mut routing = self.routing();
+        let own_hash = routing.fatal.own();
+        for update in updates.iter().filter(|update| update.reporter != own_hash) {
+            let Some(rate) = update.rate else {
+                routing.limit_reports.forget(update.backend);
                 continue;
             };
-            let is_enough = beliefs.limit_reports.take(one.backend, one.reporter);
-            let named_at = now.saturating_sub(one.age_ms);
-            if is_enough
-                && beliefs
+            let is_confirmed = routing.limit_reports.take(update.backend, update.reporter);
+            let named_at = now.saturating_sub(update.age_ms);
+            if is_confirmed
+                && routing
                     .backends
-                    .note_rate_elsewhere(named_at, one.backend, rate)
+                    .note_rate_elsewhere(named_at, update.backend, rate)
                     .is_some()
             {
-                let backend = beliefs.backends.find(one.backend);
+                let backend = routing.backends.find(update.backend);
                 log::info!(target: LOG,
                     instance = backend.map(|backend| backend.instance.id.as_str()),
                     limit_per_second = rate.as_per_second();
-                    "a back end changed: its rate limit, as other daemons were told");
+                    "a back end changed: its rate limit, as reported by other daemons");
             }
         }
     }
 
-    /// The control process `from` answered request `number` for a token.
-    pub fn take_token_verdict(&self, from: SocketAddr, number: u64, verdict: &TokenVerdict) {
+    /// Handles the verdict of control process `from` on token request `number`.
+    pub fn handle_token_verdict(&self, from: SocketAddr, number: u64, verdict: &TokenVerdict) {
         let Some(answered) = self.tokens.answered(from, number) else {
             return;
         };
-        let asked_at = answered.asked.asked_at;
-        let request = &answered.asked.request;
-        let backend = request.backend;
+        let asked_at = answered.request.asked_at;
+        let token_request = &answered.request.request;
+        let backend = token_request.backend;
         match verdict {
             TokenVerdict::Issued => {}
             TokenVerdict::Denied { again_in_ms, .. } => {
-                let backends = &mut self.beliefs().backends;
-                backends.note_denied(asked_at, backend, *again_in_ms, request.priority);
+                let backends = &mut self.routing().backends;
+                backends.note_denied(asked_at, backend, *again_in_ms, token_request.priority);
             }
             TokenVerdict::Lifted { age_ms } => {
-                // Dated by when it was asked for: the limit was lifted no later.
+                // Uses the time of the token request: the limit was lifted by then at the
+                // latest.
                 let lifted_at = asked_at.saturating_sub(*age_ms);
-                let mut beliefs = self.beliefs();
-                beliefs.limit_reports.forget(backend);
-                let change = beliefs.backends.note_lifted_elsewhere(lifted_at, backend);
+                let mut routing = self.routing();
+                routing.limit_reports.forget(backend);
+                let change = routing.backends.note_lifted_elsewhere(lifted_at, backend);
                 if change.is_some() {
-                    let known = beliefs.backends.find(backend);
+                    let found = routing.backends.find(backend);
                     log::info!(target: LOG,
-                        instance = known.map(|known| known.instance.id.as_str()), age_ms = *age_ms;
-                        "a back end changed: its rate limit was lifted, as another daemon was told");
+                        instance = found.map(|found| found.instance.id.as_str()), age_ms = *age_ms;
+                        "a back end changed: its rate limit was lifted, as reported by another daemon");
                 }
             }
         }
-        let answer = answer_of(verdict, &answered.asked);
-        answered.tell(answer);
+        let answer = answer_of(verdict, &answered.request);
+        answered.deliver(answer);
     }
 
-    /// Takes in what this daemon found out itself, and tells others.
-    pub fn share(&self, finding: Finding) {
+    /// Applies a finding of this daemon and sends it to the other daemons.
+    pub fn publish_finding(&self, finding: Finding) {
         let shared = SharedFinding {
             number: rand::random(),
-            reporter: self.beliefs().fatal.own(),
+            reporter: self.routing().fatal.own(),
             finding,
         };
         self.adopt_finding(&shared);
-        // Without a connection to control there is nobody to tell.
+        // The send fails when there is no connection to control; the finding is then dropped.
         let _ = self.findings.send(shared);
     }
 
-    /// What this daemon finds out, as it does.
+    /// Subscribes to the findings of this daemon.
     pub fn findings(&self) -> broadcast::Receiver<SharedFinding> {
         self.findings.subscribe()
     }
 
-    /// Whether this daemon is connected with a majority of the control processes.
-    /// Without, it owns no cold back end: the others share them out among them.
+    /// Sets whether this daemon is connected to a majority of the control processes. While it
+    /// is not, it owns no cold back end: the other daemons divide them among themselves.
     pub fn set_following(&self, is_following: bool) {
         let now = self.now();
-        let mut beliefs = self.beliefs();
-        let view = is_following.then(|| beliefs.daemons.clone());
-        beliefs.owners.set(now, view);
+        let mut routing = self.routing();
+        let view = is_following.then(|| routing.daemons.clone());
+        routing.owners.set(now, view);
         if is_following {
-            beliefs.is_informed = true;
-            let Beliefs {
+            routing.is_synced = true;
+            let RoutingState {
                 allowance, daemons, ..
-            } = &mut *beliefs;
+            } = &mut *routing;
             allowance.note_listed(now, daemons.iter().map(String::as_str));
             allowance.renew(now);
         }
     }
 
-    /// The entry daemons that are connected now, besides this one.
-    pub fn set_daemons(&self, own: &str, others: impl Iterator<Item = String>) {
+    /// Sets the entry daemons that are connected besides this one.
+    pub fn set_daemons(&self, own_name: &str, others: impl Iterator<Item = String>) {
         let mut daemons: BTreeSet<String> = others.collect();
-        daemons.insert(own.to_owned());
+        daemons.insert(own_name.to_owned());
         let now = self.now();
-        let mut beliefs = self.beliefs();
+        let mut routing = self.routing();
         let names = daemons.iter().map(String::as_str);
-        beliefs.allowance.note_listed(now, names);
-        beliefs.daemons = daemons;
+        routing.allowance.note_listed(now, names);
+        routing.daemons = daemons;
     }
 }
 
-/// Logs what changed, by a finding of a daemon or by what control told.
-fn tell_news(changes: Vec<CaseNews>, by: Option<&SharedFinding>) {
+/// Logs changes of crash records, caused by a finding of a daemon or by a message from
+/// control.
+fn log_crash_record_changes(changes: Vec<CaseNews>, finding: Option<&SharedFinding>) {
     for change in changes {
         match change {
-            CaseNews::Witness(case) => {
-                log::info!(target: LOG, fingerprint = case.request.0, ends = case.ends,
-                    convictions = case.convictions, reporter = by.map(|by| by.reporter),
-                    finding = by.map(|by| by.number); "a back end ended under a request")
+            CaseNews::Witness(crash_record) => {
+                log::info!(target: LOG, fingerprint = crash_record.request.0, ends = crash_record.ends,
+                    convictions = crash_record.convictions, reporter = finding.map(|finding| finding.reporter),
+                    finding = finding.map(|finding| finding.number); "a back end ended under a request")
             }
             CaseNews::Convicted {
                 request,
--- a/crates/coursestand-proxy/src/exchange/attempt.rs
+++ b/crates/coursestand-proxy/src/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a back end: a connection, the request, and its answer taken in.
+//! One attempt at a back end: obtains a connection, sends the request and reads the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,39 +12,39 @@
 use hyper::client::conn::TrySendError;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::{Exchange, FailedAttempt, LOG, Prepared, Received, Started};
+use super::{ActiveAttempt, BackendResponse, Exchange, FailedAttempt, LOG, PreparedRequest};
 use crate::answer_times::READING_GRACE;
-use crate::collect::{Collected, HELD_BYTES, collect};
+use crate::collect::{Collected, MAX_BUFFERED_BYTES, collect};
 use crate::headers::{strip_connection_headers, text_of};
-use crate::phases::{AttemptEnding, AttemptFailure, Attempts, Silence, Target};
+use crate::phases::{AttemptEnding, AttemptFailure, Attempts, SilentConnection, Target};
 use crate::pool::{Connection, RequestBody};
+use crate::response_metadata::ResponseMetadata;
 use crate::retry::{RetryDenial, RetryVerdict};
 use crate::streamed_body::StreamedBody;
-use crate::told::Told;
 use crate::verdict::{Verdict, judge};
 
-/// Part of the time left that making a connection may take.
-const CONNECT_PART: u32 = 3;
-/// A back end stops at the deadline; its word of that needs a moment to arrive.
+/// Divisor of the time left that gives the limit for connecting.
+const CONNECT_TIME_DIVISOR: u32 = 3;
+/// A back end stops at the deadline; its answer needs a moment to arrive.
 const ANSWER_GRACE: Duration = Duration::from_millis(80);
 
-/// How sending a request on a connection ended.
+/// Result of sending a request on a connection.
 type SendOutcome = Result<Response<Incoming>, TrySendError<Request<RequestBody>>>;
 
 impl Exchange {
-    /// Sends the request to one back end and takes its answer in.
+    /// Sends the request to one back end and reads its answer.
     pub(super) async fn attempt(
         &self,
-        prepared: &mut Prepared,
-        started: &Started,
+        prepared: &mut PreparedRequest,
+        started: &ActiveAttempt,
         attempts: &mut Attempts,
-    ) -> Result<Received, FailedAttempt> {
+    ) -> Result<BackendResponse, FailedAttempt> {
         let target = &started.target;
-        let give_up = prepared.deadline + ANSWER_GRACE;
-        let sent = self.send(prepared, target, attempts, give_up).await;
+        let wait_until = prepared.deadline + ANSWER_GRACE;
+        let sent = self.send(prepared, target, attempts, wait_until).await;
         let failure = sent.as_ref().err().map(|failed| failed.failure);
-        if failure.is_none_or(|failure| failure.ending() == AttemptEnding::Settled) {
-            started.settle();
+        if failure.is_none_or(|failure| failure.ending() == AttemptEnding::Resolved) {
+            started.mark_resolved();
         }
         let (response, connection) = sent?;
         let (head, body) = response.into_parts();
@@ -54,16 +54,16 @@
             head.status,
             &head.headers,
         );
-        // What another instance at the address says of itself tells nothing of this one.
-        let told = match verdict {
-            Verdict::Misdirected => Told::default(),
-            _ => Told::read(&self.names, head.status, &head.headers),
+        // The metadata of another instance at the address does not describe this one.
+        let metadata = match verdict {
+            Verdict::Misdirected => ResponseMetadata::default(),
+            _ => ResponseMetadata::read(&self.names, head.status, &head.headers),
         };
         let failure = |failure| FailedAttempt {
-            report: told.report,
+            report: metadata.report,
             ..FailedAttempt::of(failure)
         };
-        self.note_told(target, &told.report);
+        self.apply_signals(target, &metadata.report);
         self.unread_headers
             .note(&self.names, target.id().as_str(), &head.headers);
         if let Verdict::Foreign(what) = verdict {
@@ -73,12 +73,12 @@
         }
         let length: Option<usize> =
             text_of(&head.headers, &CONTENT_LENGTH).and_then(|text| text.parse().ok());
-        let held = if length.is_some_and(|length| length > HELD_BYTES) {
-            Ok(Ok(Collected::Part(Bytes::new(), body)))
+        let collected_result = if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+            Ok(Ok(Collected::Partial(Bytes::new(), body)))
         } else {
-            timeout_at(give_up, collect(body, HELD_BYTES)).await
+            timeout_at(wait_until, collect(body, MAX_BUFFERED_BYTES)).await
         };
-        let collected = match held {
+        let collected = match collected_result {
             Ok(Ok(collected)) => collected,
             Ok(Err(_)) => {
                 return Err(FailedAttempt {
@@ -91,22 +91,22 @@
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
         let body = match collected {
-            Collected::Whole(bytes) => {
-                if !told.closes {
+            Collected::Complete(bytes) => {
+                if !metadata.closes {
                     let pool = Arc::clone(&self.pool);
                     let incarnation = target.incarnation.clone();
                     tokio::spawn(async move {
-                        pool.give_back(incarnation, connection, told.keep_alive)
+                        pool.give_back(incarnation, connection, metadata.keep_alive)
                             .await
                     });
                 }
                 Either::Left(Full::new(bytes))
             }
-            Collected::Part(first, rest) => {
+            Collected::Partial(first, rest) => {
                 Either::Right(StreamedBody::new(first, rest, connection))
             }
         };
-        let received = Received {
+        let received = BackendResponse {
             status: head.status,
             headers,
             body,
@@ -115,7 +115,7 @@
             Verdict::Shed => Err(failure(AttemptFailure::Shed)),
             Verdict::Misdirected => Err(failure(AttemptFailure::Misdirected)),
             _ => {
-                self.phases.answered(target, &told.report);
+                self.phases.answered(target, &metadata.report);
                 let failed = received.status.is_server_error();
                 if failed && prepared.matched.route.route.kind.is_repeatable() {
                     return Err(FailedAttempt {
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Believes and counts what a back end asked for with an answer.
-    fn note_told(&self, target: &Target, report: &BackendReport) {
-        self.phases.told(target, report);
-        let counters = &self.metrics.backend_words;
+    /// Applies and counts the signals of a back end in the head of an answer.
+    fn apply_signals(&self, target: &Target, report: &BackendReport) {
+        self.phases.head_received(target, report);
+        let counters = &self.metrics.backend_signals;
         if report.backoff_ms.is_some() {
             counters.with_label_values(&["backoff"]).inc();
         }
@@ -143,22 +143,22 @@
         }
     }
 
-    /// Sends on an idle connection, or on a new one; after a silence only on a new
-    /// one. A request that was not written is sent on the next.
+    /// Sends the request on an idle connection, or on a new one; after a silent connection
+    /// only on a new one. A request that was not written is sent on the next connection.
     async fn send(
         &self,
-        prepared: &mut Prepared,
+        prepared: &mut PreparedRequest,
         target: &Target,
         attempts: &mut Attempts,
-        give_up: Instant,
+        wait_until: Instant,
     ) -> Result<(Response<Incoming>, Connection), FailedAttempt> {
         let mut request = self.request_for(prepared, target)?;
         loop {
-            let kept = match attempts.silence {
+            let idle = match attempts.silent_connection {
                 None => self.pool.take(&target.incarnation),
                 Some(_) => None,
             };
-            let mut connection = match kept {
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => match self.open(prepared.deadline, target).await {
                     Ok(connection) => connection,
@@ -168,7 +168,7 @@
                     }
                 },
             };
-            if !self.phases.is_open(target) {
+            if !self.phases.may_still_send(target) {
                 prepared.body.give_back(request.into_body());
                 return Err(FailedAttempt::of(AttemptFailure::Withdrawn));
             }
@@ -176,14 +176,14 @@
             let is_reused = connection.is_reused;
             let sending = connection.sender.try_send_request(request);
             let outcome = self
-                .answer_to(sending, prepared, target, attempts, give_up)
+                .await_response(sending, prepared, target, attempts, wait_until)
                 .await
                 .map_err(FailedAttempt::of)?;
             let mut error = match outcome {
                 Ok(response) => return Ok((response, connection)),
                 Err(error) => error,
             };
-            // Only a request that comes back whole was not written.
+            // A request that is handed back whole was not written.
             match error.take_message() {
                 Some(unsent) if is_reused => request = unsent,
                 Some(unsent) => {
@@ -195,16 +195,16 @@
         }
     }
 
-    /// Waits for the first bytes of the answer. A connection that brings none for far
-    /// longer than usual is broken off if the request may be repeated; once, since a
-    /// second silence comes from the back end.
-    async fn answer_to(
+    /// Waits for the first bytes of the answer. A connection that brings none for far longer
+    /// than usual is closed if the request may be repeated. This is done only once per
+    /// request, since a second silence is caused by the back end.
+    async fn await_response(
         &self,
         sending: impl Future<Output = SendOutcome>,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         target: &Target,
         attempts: &mut Attempts,
-        give_up: Instant,
+        wait_until: Instant,
     ) -> Result<SendOutcome, AttemptFailure> {
         tokio::pin!(sending);
         let sent_at = Instant::now();
@@ -217,19 +217,20 @@
                 self.note_answer(&outcome, target, sent_at, attempts);
                 return Ok(outcome);
             }
-            self.pool.distrust(&target.incarnation, sent_at);
-            let retry = self.may_repeat_silent(prepared, attempts, limit);
+            self.pool
+                .close_unanswered_since(&target.incarnation, sent_at);
+            let retry = self.may_retry_silent(prepared, attempts, limit);
             if retry.is_granted() {
-                attempts.silence = Some(Silence {
+                attempts.silent_connection = Some(SilentConnection {
                     backend: target.incarnation.clone(),
                     sent_at,
                     retry,
                 });
                 return Err(AttemptFailure::Silent);
             }
-            self.tell_silence_kept(prepared, target, retry);
+            self.log_silent_wait(prepared, target, retry);
         }
-        let outcome = timeout_at(give_up, sending)
+        let outcome = timeout_at(wait_until, sending)
             .await
             .map_err(|_| AttemptFailure::TimedOut)?;
         self.note_answer(&outcome, target, sent_at, attempts);
@@ -238,54 +239,58 @@
 
     fn silence_limit(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         target: &Target,
         attempts: &Attempts,
     ) -> Option<Duration> {
-        if attempts.silence.is_some() || prepared.body.is_spent() {
+        if attempts.silent_connection.is_some() || prepared.body.is_spent() {
             return None;
         }
         self.answer_times
             .silence_limit(&target.service, &target.zone)
-            .filter(|limit| *limit < prepared.left())
+            .filter(|limit| *limit < prepared.time_left())
     }
 
-    /// Whether a request that got no answer for `waited` may be sent on a new
-    /// connection. Takes what that costs from the budget.
-    fn may_repeat_silent(
+    /// Returns whether a request that got no answer for `waited` may be sent on a new
+    /// connection. Takes the cost of the retry from the budget.
+    fn may_retry_silent(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         attempts: &Attempts,
         waited: Duration,
     ) -> RetryVerdict {
-        let left = prepared.left();
-        if left < waited {
+        let time_left = prepared.time_left();
+        if time_left < waited {
             return RetryVerdict::Denied(RetryDenial::NoTime);
         }
         let failed = Attempts {
             arrived: attempts.arrived + 1,
             ..attempts.clone()
         };
-        self.phases
-            .may_retry(&prepared.matched, &failed, AttemptFailure::Silent, left)
+        self.phases.may_retry(
+            &prepared.matched,
+            &failed,
+            AttemptFailure::Silent,
+            time_left,
+        )
     }
 
-    /// The answer is waited for on a connection that is silent, since the request may not
-    /// be sent again.
-    fn tell_silence_kept(&self, prepared: &Prepared, target: &Target, retry: RetryVerdict) {
+    /// Logs that the answer is awaited on a silent connection, since the request may not be
+    /// sent again.
+    fn log_silent_wait(&self, prepared: &PreparedRequest, target: &Target, retry: RetryVerdict) {
         self.metrics.count_retry(&target.service, retry);
         let budget = retry.budget();
         log::info!(target: LOG, request = prepared.id, instance = target.id().as_str(),
             service = target.service.as_str(),
             retry = retry.name(),
-            budget_left = budget.map(|budget| budget.left),
+            budget_left = budget.map(|budget| budget.remaining),
             budget_daemons = budget.map(|budget| budget.daemons),
-            budget_held = budget.map(|budget| budget.held);
+            budget_held = budget.map(|budget| budget.withheld);
             "a silent connection is waited for");
     }
 
-    /// Learns from an answer how long answers take, and that an earlier connection
-    /// to the same back end was silent.
+    /// Records how long an answer took, and that an earlier connection to the same back end
+    /// was silent.
     fn note_answer(
         &self,
         outcome: &SendOutcome,
@@ -298,21 +303,21 @@
         }
         self.answer_times
             .note(&target.service, &target.zone, sent_at.elapsed());
-        if let Some(silence) = &attempts.silence
-            && silence.backend == target.incarnation
+        if let Some(silent) = &attempts.silent_connection
+            && silent.backend == target.incarnation
         {
-            self.pool.note_silence(silence);
+            self.pool.note_silent_connection(silent);
         }
     }
 
     async fn open(&self, deadline: Instant, target: &Target) -> Result<Connection, FailedAttempt> {
         let started = Instant::now();
-        let left = deadline.saturating_duration_since(started);
+        let time_left = deadline.saturating_duration_since(started);
         let limit = self.connect_times.limit(&target.zone);
         self.metrics.connections.inc();
         let connection = self
             .pool
-            .open(target.address, limit.min(left / CONNECT_PART))
+            .open(target.address, limit.min(time_left / CONNECT_TIME_DIVISOR))
             .await
             .map_err(|_| FailedAttempt::of(AttemptFailure::Unreachable))?;
         let took = started.elapsed();
@@ -324,7 +329,7 @@
 
     fn request_for(
         &self,
-        prepared: &mut Prepared,
+        prepared: &mut PreparedRequest,
         target: &Target,
     ) -> Result<Request<RequestBody>, FailedAttempt> {
         let Some(body) = prepared.body.take() else {
@@ -342,12 +347,12 @@
         Ok(request)
     }
 
-    /// Tells the back end what is left of the time.
-    fn refresh_deadline(&self, prepared: &Prepared, request: &mut Request<RequestBody>) {
-        let left = prepared.deadline.saturating_duration_since(Instant::now());
-        let left = left.as_millis().max(1) as u64;
+    /// Sets the deadline header to the time left.
+    fn refresh_deadline(&self, prepared: &PreparedRequest, request: &mut Request<RequestBody>) {
+        let time_left = prepared.deadline.saturating_duration_since(Instant::now());
+        let time_left = time_left.as_millis().max(1) as u64;
         request
             .headers_mut()
-            .insert(self.names.deadline.clone(), HeaderValue::from(left));
+            .insert(self.names.deadline.clone(), HeaderValue::from(time_left));
     }
 }
--- a/crates/coursestand-proxy/src/exchange/mod.rs
+++ b/crates/coursestand-proxy/src/exchange/mod.rs
@@ -10,12 +10,12 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout};
 
-use crate::answer::{AnswerBody, Reason, own_answer, passed_on};
+use crate::answer::{AnswerBody, Reason, forwarded_response, local_response};
 use crate::answer_times::AnswerTimes;
 use crate::caller_limits::SharedLimits;
 use crate::connect_times::ConnectTimes;
+use crate::crash_detector::CrashDetector;
 use crate::discard::discard;
-use crate::end_watch::EndWatch;
 use crate::header_names::HeaderNames;
 use crate::headers::{millis_of, size_of, strip_connection_headers, text_of};
 use crate::link_gate::{LinkGate, LinkPermit};
@@ -26,8 +26,8 @@
 };
 use crate::pool::Pool;
 use crate::prepared_body::PreparedBody;
+use crate::request_log::RequestLog;
 use crate::retry::{RetryDenial, RetryVerdict};
-use crate::story::Story;
 use crate::unread_headers::UnreadHeaders;
 use coursestand_model::Millis;
 use coursestand_routing::BackendReport;
@@ -36,14 +36,15 @@
 mod tokens;
 
 const LOG: &str = "proxy";
-/// Longest time after which a caller is told to come back whose request waited too long:
-/// that of the admission. A process that stood still for longer is quick again at once.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Upper bound on the retry delay of a request that was queued for longer than its timeout;
+/// the admission control uses the same bound. A process that was suspended for longer is fast
+/// again at once.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a request waits for leave to be tried.
+/// How long a request waits for control to grant a trial.
 const TRIAL_WAIT: Duration = Duration::from_millis(300);
 
-/// Takes requests from callers to back ends.
+/// Forwards requests from callers to back ends.
 pub struct Exchange {
     phases: Arc<dyn RequestPhases>,
     names: HeaderNames,
@@ -53,22 +54,22 @@
     link: Arc<LinkWatch>,
     connect_times: ConnectTimes,
     answer_times: AnswerTimes,
-    ends: Arc<EndWatch>,
+    crash_detector: Arc<CrashDetector>,
     limits: SharedLimits,
     unread_headers: UnreadHeaders,
-    /// When the process ends, once a planned stop has begun.
-    end: OnceLock<Instant>,
+    /// When the process ends, if a planned stop has begun.
+    stops_at: OnceLock<Instant>,
 }
 
-/// When a request's head was read, and how long it had waited before.
+/// When a request's head was read, and how long it had been queued before.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     read_at: Instant,
     waited: Duration,
 }
 
-/// A request that was read and matched.
-struct Prepared {
+/// A request that has been read and matched to a route.
+struct PreparedRequest {
     parts: Parts,
     body: PreparedBody,
     id: Option<String>,
@@ -77,34 +78,34 @@
     permit: LinkPermit,
 }
 
-impl Prepared {
-    fn left(&self) -> Duration {
+impl PreparedRequest {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
 /// A back end's answer.
-struct Received {
+struct BackendResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: AnswerBody,
 }
 
-impl Received {
-    /// Bytes of its head and its body, as far as they are known.
+impl BackendResponse {
+    /// Returns the size of head and body in bytes, as far as it is known.
     fn size(&self) -> u64 {
         size_of(&self.headers) + self.body.size_hint().lower()
     }
 }
 
-/// An attempt without an answer that settles the request.
+/// A failed attempt.
 struct FailedAttempt {
     failure: AttemptFailure,
-    /// The back end's own answer, to be passed on when there is no other attempt.
-    answer: Option<Box<Received>>,
-    /// What the back end said of itself, if it answered.
+    /// The back end's answer, forwarded when there is no further attempt.
+    answer: Option<Box<BackendResponse>>,
+    /// The back end's report, if it answered.
     report: BackendReport,
-    /// Whether the connection broke before the answer was whole.
+    /// Whether the connection broke before the answer was complete.
     is_broken: bool,
 }
 
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The connection broke while the request was under way.
+    /// Returns the failure for a connection that broke while the request was in flight.
     fn broken() -> FailedAttempt {
         FailedAttempt {
             is_broken: true,
@@ -126,11 +127,12 @@
         }
     }
 
-    /// Whether the same back end may get the request again, which knows its object:
-    /// it refused though it says that nothing waits there, the connection failed and not
-    /// the back end, or nothing was sent. A back-off keeps it out by itself, and its end
-    /// is when a request that finds no other place may come back.
-    fn leaves_back_end_open(&self) -> bool {
+    /// Returns whether the same back end, for which the request's object is warm, may get the
+    /// request again: it refused although it reports that no request waits there, the
+    /// connection failed rather than the back end, or nothing was sent. A back-off excludes
+    /// the back end by itself, and its end is when a request that finds no other back end may
+    /// be retried.
+    fn may_retry_same_backend(&self) -> bool {
         match self.failure {
             AttemptFailure::Shed => {
                 let report = &self.report;
@@ -143,14 +145,14 @@
 }
 
 impl Attempts {
-    /// One at `target` failed.
+    /// Records a failed attempt at `target`.
     fn note(&mut self, target: &Target, failed: &FailedAttempt) {
-        if !failed.leaves_back_end_open() {
-            self.tried.push(target.id().clone());
+        if !failed.may_retry_same_backend() {
+            self.excluded.push(target.id().clone());
         }
         self.may_have_run |= failed.failure.may_have_run();
         if failed.is_broken {
-            self.broken_backends.push(target.memory);
+            self.broken_backends.push(target.incarnation_hash);
         }
         if failed.failure.reached_back_end() {
             self.arrived += 1;
@@ -160,32 +162,32 @@
     }
 }
 
-/// Keeps a back end counted as having the request until dropped.
-struct Started {
+/// An attempt in progress: the back end counts as having the request until this is dropped.
+struct ActiveAttempt {
     phases: Arc<dyn RequestPhases>,
     target: Target,
-    is_settled: AtomicBool,
+    is_resolved: AtomicBool,
 }
 
-impl Started {
-    /// The back end has read the request, or never will.
-    fn settle(&self) {
-        self.is_settled.store(true, Ordering::Relaxed);
+impl ActiveAttempt {
+    /// Marks the copy as resolved: the back end has read the request, or never will.
+    fn mark_resolved(&self) {
+        self.is_resolved.store(true, Ordering::Relaxed);
     }
 }
 
-impl Drop for Started {
+impl Drop for ActiveAttempt {
     fn drop(&mut self) {
-        let ending = match self.is_settled.load(Ordering::Relaxed) {
-            true => AttemptEnding::Settled,
-            false => AttemptEnding::InDoubt,
+        let ending = match self.is_resolved.load(Ordering::Relaxed) {
+            true => AttemptEnding::Resolved,
+            false => AttemptEnding::Unresolved,
         };
         self.phases.finished(&self.target, ending);
     }
 }
 
 impl Exchange {
-    /// An exchange that decides by `phases`.
+    /// Creates an exchange that takes its decisions from `phases`.
     pub fn new(
         phases: Arc<dyn RequestPhases>,
         names: HeaderNames,
@@ -202,91 +204,92 @@
             link: Arc::default(),
             connect_times: ConnectTimes::default(),
             answer_times: AnswerTimes::default(),
-            ends: Arc::default(),
+            crash_detector: Arc::default(),
             limits: SharedLimits::default(),
-            end: OnceLock::new(),
+            stops_at: OnceLock::new(),
         }
     }
 
-    /// A planned stop has begun, and the process ends at `end`. A request that
-    /// comes from now on is given up before that, so that none is cut off.
-    pub fn ends_at(&self, end: Instant) {
-        // The first planned stop counts.
-        let _ = self.end.set(end);
+    /// Announces that a planned stop has begun and the process ends at `end`. A request that
+    /// arrives after this call is abandoned before `end`, so that none is cut off.
+    pub fn set_stop_time(&self, end: Instant) {
+        // Only the first planned stop takes effect.
+        let _ = self.stops_at.set(end);
     }
 
-    /// When a request is given up that may take `limit` from when its caller sent it, or
-    /// why it is refused.
+    /// Returns the deadline of a request that may take `limit` from when its caller sent it,
+    /// or why it is refused.
     ///
-    /// The wait before it was read counts: behind a queue of 0.6 s on the link, every
-    /// request that reached its time-out of 1 s was answered 0.68 s later, and now within
-    /// half a second; one whose time was over when it was read is refused instead of run
-    /// for nobody (`coursestand-daemon/tests/following/late_requests.rs`).
+    /// The time that the request was queued before it was read counts against `limit`.
+    /// Otherwise, behind a queue of 0.6 s on the link, every request that reaches its timeout
+    /// of 1 s would be answered 0.68 s late; with it, at most half a second late. A request
+    /// whose time was over when it was read is refused, since no caller waits for it
+    /// (`coursestand-daemon/tests/following/late_requests.rs`).
     fn deadline_of(&self, arrival: Arrival, limit: Duration) -> Result<Instant, Reason> {
         if limit <= arrival.waited {
-            let drained_in = arrival.waited.min(LONGEST_PAUSE);
+            let retry_delay = arrival.waited.min(MAX_RETRY_DELAY);
             return Err(Reason::LinkFull {
-                drained_in_ms: drained_in.as_millis() as Millis,
+                drained_in_ms: retry_delay.as_millis() as Millis,
             });
         }
         let deadline = arrival.read_at + (limit - arrival.waited);
-        match self.end.get() {
+        match self.stops_at.get() {
             Some(end) if *end <= arrival.read_at => Err(Reason::Stopping),
             Some(end) => Ok(deadline.min(*end)),
             None => Ok(deadline),
         }
     }
 
-    /// What callers may send and for how long they may rest.
+    /// Returns the limits on requests and idle connections of callers.
     pub fn limits(&self) -> &SharedLimits {
         &self.limits
     }
 
-    /// Closes connections to back ends that rest, for want of descriptors.
+    /// Closes the idle connections to back ends, for lack of descriptors.
     pub fn close_idle(&self) {
         self.pool.close_idle(|_| false);
     }
 
-    /// Admits requests by the room on the machine's link.
+    /// Returns the admission control by the capacity of the machine's link.
     pub fn gate(&self) -> &LinkGate {
         &self.gate
     }
 
-    /// Where round trips over the machine's link are noted.
+    /// Returns the estimator of queueing delay on the machine's link.
     pub fn link(&self) -> &Arc<LinkWatch> {
         &self.link
     }
 
-    /// Headers of back ends' answers that nothing reads.
+    /// Returns the headers of answers that this version does not read.
     pub fn unread_headers(&self) -> &UnreadHeaders {
         &self.unread_headers
     }
 
-    /// Metrics of the exchange.
+    /// Returns the metrics of the exchange.
     pub fn metrics(&self) -> &ProxyMetrics {
         &self.metrics
     }
 
-    /// Answers one request. Dropped before its end, it breaks off what it sent.
+    /// Answers one request. Dropping the future aborts the attempt in flight.
     pub async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let arrival = Arrival {
             read_at: Instant::now(),
-            waited: self.link.waited(),
+            waited: self.link.queueing_delay(),
         };
         let id = text_of(request.headers(), &self.names.request_id).map(str::to_owned);
-        let mut story = Story::begin(&self.metrics, id, arrival.read_at, arrival.waited);
+        let mut request_log = RequestLog::begin(&self.metrics, id, arrival.read_at, arrival.waited);
         let result = match self.prepare(request, arrival).await {
-            Ok(prepared) => self.carry_out(prepared, &mut story).await,
+            Ok(prepared) => self.forward(prepared, &mut request_log).await,
             Err(reason) => Err(reason),
         };
         match result {
             Ok(received) => {
-                story.end("served", received.status);
-                passed_on(received.status, received.headers, received.body)
+                request_log.end("served", received.status);
+                forwarded_response(received.status, received.headers, received.body)
             }
             Err(reason) => {
-                story.end(reason.name(), reason.status());
-                own_answer(reason)
+                request_log.end(reason.name(), reason.status());
+                local_response(reason)
             }
         }
     }
@@ -295,7 +298,7 @@
         &self,
         request: Request<Incoming>,
         arrival: Arrival,
-    ) -> Result<Prepared, Reason> {
+    ) -> Result<PreparedRequest, Reason> {
         let (mut parts, body) = request.into_parts();
         let head = self.head_of(&parts);
         let (matched, deadline, permit) = match self.admit(&parts, &body, &head, arrival) {
@@ -305,19 +308,19 @@
                 return Err(reason);
             }
         };
-        let longest = self.limits.get().body_bytes;
-        let body = PreparedBody::read(&parts.headers, body, longest, deadline).await?;
+        let max_bytes = self.limits.get().body_bytes;
+        let body = PreparedBody::read(&parts.headers, body, max_bytes, deadline).await?;
         strip_connection_headers(&mut parts.headers);
         parts.headers.remove(&self.names.deadline);
         parts.headers.remove(&self.names.target_instance);
-        if let PreparedBody::Held(bytes) = &body
+        if let PreparedBody::Buffered(bytes) = &body
             && parts.headers.contains_key(CONTENT_LENGTH)
         {
             parts
                 .headers
                 .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
         }
-        Ok(Prepared {
+        Ok(PreparedRequest {
             parts,
             body,
             id: head.id,
@@ -327,8 +330,8 @@
         })
     }
 
-    /// The route and the deadline of a request of which the head was read, and its room
-    /// on the link.
+    /// Returns the route, the deadline and the link permit of a request of which the head was
+    /// read.
     fn admit(
         &self,
         parts: &Parts,
@@ -336,7 +339,7 @@
         head: &RequestHead,
         arrival: Arrival,
     ) -> Result<(Matched, Instant, LinkPermit), Reason> {
-        if self.limits.get().are_too_long(&parts.headers) {
+        if self.limits.get().exceeds_header_limit(&parts.headers) {
             return Err(Reason::HeadersTooLong);
         }
         let matched = self.phases.match_request(head).inspect_err(|reason| {
@@ -346,14 +349,15 @@
         if matched.limit.is_zero() {
             return Err(Reason::DeadlinePassed);
         }
-        // First: what came has passed the link, whatever becomes of it.
-        let permit = self.make_room(parts, body, &matched)?;
+        // Checked before the deadline: the request has used the link already, whether or not
+        // it is served.
+        let permit = self.reserve_link(parts, body, &matched)?;
         let deadline = self.deadline_of(arrival, matched.limit)?;
         Ok((matched, deadline, permit))
     }
 
-    /// Asks for room on the link, before the body is read.
-    fn make_room(
+    /// Reserves capacity of the link before the body is read.
+    fn reserve_link(
         &self,
         parts: &Parts,
         body: &Incoming,
@@ -379,38 +383,38 @@
             path: parts.uri.path().to_owned(),
             query: parts.uri.query().map(str::to_owned),
             affinity_key: text(&self.names.affinity_key),
-            patience: millis_of(&parts.headers, &self.names.deadline),
+            caller_timeout: millis_of(&parts.headers, &self.names.deadline),
         }
     }
 
-    async fn carry_out(
+    async fn forward(
         &self,
-        mut prepared: Prepared,
-        story: &mut Story<'_>,
-    ) -> Result<Received, Reason> {
+        mut prepared: PreparedRequest,
+        request_log: &mut RequestLog<'_>,
+    ) -> Result<BackendResponse, Reason> {
         let mut attempts = Attempts::default();
-        story.matched(&prepared.matched);
+        request_log.matched(&prepared.matched);
         if let Some(answer) = self.phases.ask_for_trial(&prepared.matched) {
             // Without an answer in time the request is refused as it would be without asking.
-            let _ = timeout(TRIAL_WAIT.min(prepared.left()), answer).await;
+            let _ = timeout(TRIAL_WAIT.min(prepared.time_left()), answer).await;
         }
         loop {
             attempts.token = self.obtain_token(&prepared, &attempts).await;
             let target = match self.phases.choose(&prepared.matched, &attempts) {
                 Ok(target) => target,
                 Err(reason) => {
-                    let reason = reason_after(&attempts, reason);
+                    let reason = reason_without_backend(&attempts, reason);
                     log::info!(target: LOG, request = prepared.id, service = prepared.matched.service.as_str(),
                         attempt = attempts.arrived + 1, outcome = reason.name(); "no back end was chosen");
                     return Err(reason);
                 }
             };
-            story.sent_to(&target);
-            self.note_own_part(&target, &attempts);
-            let started = Started {
+            request_log.sent_to(&target);
+            self.note_own_share(&target, &attempts);
+            let started = ActiveAttempt {
                 phases: Arc::clone(&self.phases),
                 target,
-                is_settled: AtomicBool::new(false),
+                is_resolved: AtomicBool::new(false),
             };
             let result = self.attempt(&mut prepared, &started, &mut attempts).await;
             let failed = match result {
@@ -422,9 +426,9 @@
             };
             self.note_failure(&started.target, &failed);
             attempts.note(&started.target, &failed);
-            let retry = self.retry_after(&prepared, &attempts, failed.failure);
+            let retry = self.decide_retry(&prepared, &attempts, failed.failure);
             self.metrics.count_retry(&prepared.matched.service, retry);
-            self.tell_failure(&prepared, &started.target, &attempts, &failed, retry);
+            self.log_failure(&prepared, &started.target, &attempts, &failed, retry);
             drop(started);
             if !retry.is_granted() {
                 return match failed.answer {
@@ -435,32 +439,32 @@
         }
     }
 
-    /// Whether the request is sent again after an attempt that ended by `failure`.
-    fn retry_after(
+    /// Decides whether the request is sent again after an attempt that failed with `failure`.
+    fn decide_retry(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         attempts: &Attempts,
         failure: AttemptFailure,
     ) -> RetryVerdict {
-        // Only a silence of which the retry was granted ends an attempt.
+        // A silent connection ends an attempt only if the retry was granted.
         if failure == AttemptFailure::Silent
-            && let Some(silence) = &attempts.silence
+            && let Some(silent) = &attempts.silent_connection
         {
-            return silence.retry;
+            return silent.retry;
         }
         if prepared.body.is_spent() {
             return RetryVerdict::Denied(RetryDenial::BodySpent);
         }
-        let left = prepared.left();
+        let time_left = prepared.time_left();
         self.phases
-            .may_retry(&prepared.matched, attempts, failure, left)
+            .may_retry(&prepared.matched, attempts, failure, time_left)
     }
 
-    /// A connection to the back end broke: looks whether anybody is still at its address.
-    fn look_for_end(&self, target: &Target) {
+    /// Handles a broken connection: checks whether the back end still accepts connections.
+    fn detect_crash(&self, target: &Target) {
         let phases = Arc::clone(&self.phases);
         let pool = Arc::clone(&self.pool);
-        EndWatch::look(&self.ends, target, pool, phases);
+        CrashDetector::probe(&self.crash_detector, target, pool, phases);
     }
 
     fn note_failure(&self, target: &Target, failed: &FailedAttempt) {
@@ -468,14 +472,14 @@
         let kind = failed.failure.name();
         self.metrics.failures.with_label_values(&[kind]).inc();
         if failed.is_broken {
-            self.look_for_end(target);
+            self.detect_crash(target);
         }
     }
 
-    /// Tells of the last of `attempts`, which failed.
-    fn tell_failure(
+    /// Logs the last of `attempts`, which failed.
+    fn log_failure(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         target: &Target,
         attempts: &Attempts,
         failed: &FailedAttempt,
@@ -488,27 +492,27 @@
             route = prepared.matched.route.name,
             version = prepared.matched.route.version,
             instance = target.id().as_str(),
-            rank = target.asked.pick.rank,
-            load = target.asked.pick.load,
-            load_age_ms = target.asked.pick.load_age_ms,
-            cold = target.asked.pick.is_cold,
+            rank = target.sent_request.pick.rank,
+            load = target.sent_request.pick.load,
+            load_age_ms = target.sent_request.pick.load_age_ms,
+            cold = target.sent_request.pick.is_cold,
             attempt = attempts.arrived + attempts.unreachable,
-            left_ms = prepared.left().as_millis() as u64,
+            left_ms = prepared.time_left().as_millis() as u64,
             told_running = report.load.map(|load| load.running),
             told_waiting = report.load.map(|load| load.waiting),
             told_backoff_ms = report.backoff_ms,
             told_draining = report.drains.then_some(true),
             retry = retry.name(),
-            budget_left = budget.map(|budget| budget.left),
+            budget_left = budget.map(|budget| budget.remaining),
             budget_daemons = budget.map(|budget| budget.daemons),
-            budget_held = budget.map(|budget| budget.held),
+            budget_held = budget.map(|budget| budget.withheld),
             outcome = failed.failure.name();
             "an attempt failed");
     }
 }
 
-/// The reason when no further back end was chosen.
-fn reason_after(attempts: &Attempts, reason: Reason) -> Reason {
+/// Returns the reason when no further back end was chosen.
+fn reason_without_backend(attempts: &Attempts, reason: Reason) -> Reason {
     if attempts.may_have_run {
         Reason::AnswerLost
     } else {
@@ -516,8 +520,8 @@
     }
 }
 
-/// The reason when `failure` was the last attempt. Once any attempt may have run,
-/// the answer must not promise that none did.
+/// Returns the reason when the last attempt failed with `failure`. Once any attempt may have
+/// run, the answer must not promise that none did.
 fn final_reason(attempts: &Attempts, failure: AttemptFailure) -> Reason {
     match failure {
         AttemptFailure::TimedOut => Reason::TimedOut,
--- a/crates/coursestand-proxy/src/exchange/tokens.rs
+++ b/crates/coursestand-proxy/src/exchange/tokens.rs
@@ -7,30 +7,30 @@
 use coursestand_routing::rate_limit::TOKEN_LIFETIME_MS;
 use tokio::time::{Instant, timeout_at};
 
-use super::{Exchange, LOG, Prepared};
+use super::{Exchange, LOG, PreparedRequest};
 use crate::phases::{Attempts, Target};
 use crate::tokens::TokenAnswer;
 
-/// Part of the time left that waiting for tokens may take.
-const WAIT_PART: u32 = 4;
-/// Back ends for which tokens are asked before one attempt.
-const MOST_ASKED: usize = 2;
+/// Divisor of the time left that gives the limit for waiting for tokens.
+const WAIT_TIME_DIVISOR: u32 = 4;
+/// Back ends for which tokens are requested before one attempt.
+const MAX_TOKEN_REQUESTS: usize = 2;
 
 impl Exchange {
-    /// The token for the next attempt, if it would go to a rate-limited back end and control
-    /// issues one. Without one the request goes elsewhere.
+    /// Obtains a token for the next attempt if that would go to a rate-limited back end and
+    /// control issues one. Without a token the request goes to another back end.
     pub(super) async fn obtain_token(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         attempts: &Attempts,
     ) -> Option<SendToken> {
-        let longest = Duration::from_millis(TOKEN_LIFETIME_MS);
-        let give_up = Instant::now() + longest.min(prepared.left() / WAIT_PART);
-        for _ in 0..MOST_ASKED {
-            let asked = self.phases.ask_for_token(&prepared.matched, attempts)?;
-            let answer = timeout_at(give_up, asked.answer).await;
+        let max_wait = Duration::from_millis(TOKEN_LIFETIME_MS);
+        let wait_until = Instant::now() + max_wait.min(prepared.time_left() / WAIT_TIME_DIVISOR);
+        for _ in 0..MAX_TOKEN_REQUESTS {
+            let pending = self.phases.ask_for_token(&prepared.matched, attempts)?;
+            let answer = timeout_at(wait_until, pending.answer).await;
             let answer = answer.ok().and_then(Result::ok);
-            self.note_token_answer(prepared, &asked.instance, answer);
+            self.note_token_answer(prepared, &pending.instance, answer);
             match answer {
                 Some(TokenAnswer::Issued(token)) => return Some(token),
                 Some(_) => {}
@@ -40,8 +40,8 @@
         None
     }
 
-    /// Counts a request that is sent by the daemon's own part of a rate limit.
-    pub(super) fn note_own_part(&self, target: &Target, attempts: &Attempts) {
+    /// Counts a request that is sent within the daemon's own share of a rate limit.
+    pub(super) fn note_own_share(&self, target: &Target, attempts: &Attempts) {
         if target.admitted_until.is_some() && attempts.token.is_none() {
             let counter = self.metrics.rate_tokens.with_label_values(&["own-part"]);
             counter.inc();
@@ -50,7 +50,7 @@
 
     fn note_token_answer(
         &self,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         instance: &BackendId,
         answer: Option<TokenAnswer>,
     ) {
--- a/crates/coursestand-proxy/src/header_names.rs
+++ b/crates/coursestand-proxy/src/header_names.rs
@@ -1,40 +1,41 @@
-//! Names of the headers that the request path reads and sets. A deployment may
-//! have names of its own.
+//! Names of the headers that the request path reads and sets. A deployment may use other
+//! names.
 
 use http::HeaderName;
 
 /// Names of headers between callers, this daemon and back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of one request, repeated in its answer.
+    /// Id of the request, repeated in its answer.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender waits.
+    /// Time that the sender waits, in milliseconds.
     pub deadline: HeaderName,
     /// The object that the request concerns.
     pub affinity_key: HeaderName,
-    /// The instance that alone may run the request.
+    /// The only instance that may run the request.
     pub target_instance: HeaderName,
-    /// Proves that an answer is the back end's own.
+    /// Signature that proves that the answer comes from the back end.
     pub signature: HeaderName,
     /// The back end did not run the request.
     pub not_executed: HeaderName,
     /// `running,waiting,slots` of the back end.
     pub server_load: HeaderName,
-    /// The back end drains: it takes no new requests and ends soon.
+    /// The back end is draining: it takes no new requests and stops soon.
     pub drains: HeaderName,
-    /// Requests a second that the back end takes from all daemons together.
+    /// Requests per second that the back end accepts from all daemons together.
     pub rate_limit: HeaderName,
-    /// How the names of headers begin by which back ends speak to this system. A name that
-    /// is none of the above is counted, so that a new one is seen.
+    /// Prefixes of header names that are reserved for messages of back ends to this system. A
+    /// header with such a prefix that is none of the above is counted, so that new headers are
+    /// noticed.
     pub prefixes: &'static [&'static str],
 }
 
 impl HeaderNames {
-    /// Whether `name` is one that back ends speak to this system by, and none that is read.
+    /// Returns whether `name` has a reserved prefix and is none of the headers that are read.
     pub fn is_unread(&self, name: &HeaderName) -> bool {
         let text = name.as_str();
-        let is_addressed = self.prefixes.iter().any(|prefix| text.starts_with(prefix));
-        is_addressed && !self.all().contains(&name)
+        let has_prefix = self.prefixes.iter().any(|prefix| text.starts_with(prefix));
+        has_prefix && !self.all().contains(&name)
     }
 
     fn all(&self) -> [&HeaderName; 9] {
@@ -53,7 +54,7 @@
 }
 
 impl Default for HeaderNames {
-    /// The project's own names.
+    /// Returns the default names.
     fn default() -> Self {
         HeaderNames {
             request_id: HeaderName::from_static("x-request-id"),
--- a/crates/coursestand-proxy/src/lib.rs
+++ b/crates/coursestand-proxy/src/lib.rs
@@ -1,40 +1,38 @@
-//! The request path of an entry daemon over HTTP/1.1: takes requests from
-//! callers, sends each to a back end, and passes the answer on whole or not at
-//! all.
+//! The request path of an entry daemon over HTTP/1.1: accepts requests from callers, sends
+//! each to a back end, and forwards the answer completely or not at all.
 //!
-//! [`phases::RequestPhases`] is the documented sequence of decisions;
-//! [`router::Router`] takes them by the catalog, and [`exchange::Exchange`] runs
-//! them and does the I/O.
+//! [`phases::RequestPhases`] defines the sequence of decisions; [`router::Router`] makes them
+//! from the catalog, and [`exchange::Exchange`] runs them and does the I/O.
 
 pub mod answer;
 mod answer_times;
+mod caller_connections;
 pub mod caller_limits;
-mod callers;
 mod collect;
 pub mod connect;
 pub mod connect_times;
+mod crash_detector;
 mod discard;
 pub mod edge_state;
-mod end_watch;
 pub mod exchange;
 pub mod header_names;
 pub mod headers;
+mod idle_timer;
 pub mod link_gate;
 pub mod link_watch;
 pub mod metrics;
-pub mod passing_body;
 pub mod phases;
 pub mod pool;
 mod prepared_body;
-mod rest;
+mod request_log;
+pub mod response_metadata;
 pub mod retry;
 pub mod router;
 pub mod server;
 mod smoothed_time;
-mod story;
 pub mod streamed_body;
+pub mod streamed_request_body;
 pub mod tokens;
-pub mod told;
 pub mod trials;
 pub mod unread_headers;
 pub mod verdict;
--- a/crates/coursestand-proxy/src/link_gate.rs
+++ b/crates/coursestand-proxy/src/link_gate.rs
@@ -1,4 +1,5 @@
-//! The admission by the link, shared by all requests of the process.
+//! Admission control by the capacity of the machine's link, shared by all requests of the
+//! process.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,10 +9,10 @@
 
 use crate::answer::Reason;
 
-/// Bytes a second of a link of one megabit a second.
+/// Bytes per second of a link of one megabit per second.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// Admits requests by the room on the link.
+/// Admits requests by the free capacity of the link.
 pub struct LinkGate {
     clock: MonotonicClock,
     admission: Mutex<LinkAdmission>,
@@ -33,34 +34,35 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The link has this speed, in megabits a second in each direction.
+    /// Sets the speed of the link, in megabits per second in each direction.
     pub fn set_speed(&self, link_mbps: f64) {
         *self.admission() = LinkAdmission::new(Some(link_mbps * BYTES_PER_MEGABIT));
     }
 
-    /// Something that passed the link both ways took this much longer than it needs.
+    /// Records that a round trip over the link took `delay_ms` longer than it does without
+    /// queueing.
     pub fn note_delay(&self, delay_ms: f64) {
         self.admission().note_delay(self.clock.now(), delay_ms);
     }
 
-    /// Ends a period, and tells the part of the link that its requests need, refused ones
-    /// among them.
+    /// Ends a sampling period. Returns the fraction of the link that the requests of the
+    /// period need, including refused ones.
     pub fn sample_demand(&self) -> Option<f64> {
         self.admission().sample_demand(self.clock.now())
     }
 
-    /// Admits a request with so many bytes of head and body, or refuses it.
+    /// Admits a request with `bytes` bytes of head and body, or refuses it.
     pub(crate) fn admit(
         self: &Arc<Self>,
         route: &Arc<RouteEntry>,
         bytes: u64,
     ) -> Result<LinkPermit, Reason> {
         let arrival = Arrival { route, bytes };
-        let admitted = self
+        let admission_result = self
             .admission()
             .admit(self.clock.now(), &arrival, rand::random());
-        let reservation = admitted.map_err(|full| Reason::LinkFull {
-            drained_in_ms: full.drained_in_ms,
+        let reservation = admission_result.map_err(|refusal| Reason::LinkFull {
+            drained_in_ms: refusal.drained_in_ms,
         })?;
         Ok(LinkPermit {
             gate: Arc::clone(self),
@@ -70,8 +72,8 @@
     }
 }
 
-/// Room on the link for a request and its answer. Dropped without an answer, it gives
-/// back what was kept for the answer.
+/// Capacity of the link that is reserved for a request and its answer. Dropping it without an
+/// answer releases what was reserved for the answer.
 pub(crate) struct LinkPermit {
     gate: Arc<LinkGate>,
     route: Arc<RouteEntry>,
@@ -79,7 +81,7 @@
 }
 
 impl LinkPermit {
-    /// The answer came, with so many bytes of head and body.
+    /// Records an answer with `bytes` bytes of head and body.
     pub(crate) fn answered(mut self, bytes: u64) {
         if let Some(reservation) = self.reservation.take() {
             let now = self.gate.clock.now();
--- a/crates/coursestand-proxy/src/metrics.rs
+++ b/crates/coursestand-proxy/src/metrics.rs
@@ -9,20 +9,21 @@
 /// Metrics of the request path.
 #[derive(Clone)]
 pub struct ProxyMetrics {
-    /// Requests by outcome: `served`, or the reason of an own answer.
+    /// Requests by outcome: `served`, or the reason of an answer that this daemon generated.
     pub requests: IntCounterVec,
     /// Attempts that failed, by kind.
     pub failures: IntCounterVec,
-    /// What back ends asked for with their answers: `backoff` or `draining`.
-    pub backend_words: IntCounterVec,
-    /// Requests for tokens for rate-limited back ends, by what control answered, and requests
-    /// that were sent by the daemon's own part.
+    /// Signals of back ends in answers, by kind: `backoff`, `draining` or `rate-limit`.
+    pub backend_signals: IntCounterVec,
+    /// Token requests for rate-limited back ends, by the answer of control, and requests that
+    /// were sent within the daemon's own share.
     pub rate_tokens: IntCounterVec,
-    /// Answers with a header that nothing reads, by its name.
+    /// Answers with a header that this version does not read, by header name.
     pub unread_headers: IntCounterVec,
     /// Attempts after the first.
     pub retries: IntCounter,
-    /// The same by service and by whether they were `paid` from its budget or `free`.
+    /// Attempts after the first, by service and by whether they were `paid` from its budget or
+    /// `free`.
     pub service_retries: IntCounterVec,
     /// Failed attempts after which a request was not sent again, by service and reason.
     pub denied_retries: IntCounterVec,
@@ -30,14 +31,14 @@
     pub connections: IntCounter,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Seconds that requests had waited before they were read, as far as it is known.
+    /// Seconds that requests were queued before they were read, as far as it is known.
     pub waited: Histogram,
     /// Seconds from a request's head to its answer.
     pub duration: Histogram,
 }
 
 impl ProxyMetrics {
-    /// Metrics known to `registry`.
+    /// Creates the metrics and registers them with `registry`.
     pub fn new(registry: &Registry) -> Result<ProxyMetrics, prometheus::Error> {
         let metrics = ProxyMetrics {
             requests: IntCounterVec::new(
@@ -51,7 +52,7 @@
                 ),
                 &["kind"],
             )?,
-            backend_words: IntCounterVec::new(
+            backend_signals: IntCounterVec::new(
                 Opts::new(
                     "coursestand_backend_words_total",
                     "Answers by which a back end asked for a back-off or said that it drains",
@@ -104,17 +105,17 @@
                 "Seconds from a request's head to its answer",
             ))?,
         };
-        // Shown from the start, with nothing counted yet.
+        // Exported from the start with the value 0.
         metrics.requests.with_label_values(&["served"]);
         metrics.failures.with_label_values(&["unreachable"]);
-        metrics.backend_words.with_label_values(&["backoff"]);
-        metrics.backend_words.with_label_values(&["draining"]);
+        metrics.backend_signals.with_label_values(&["backoff"]);
+        metrics.backend_signals.with_label_values(&["draining"]);
         metrics.unread_headers.with_label_values(&[OTHER]);
         metrics.rate_tokens.with_label_values(&["issued"]);
-        metrics.backend_words.with_label_values(&["rate-limit"]);
+        metrics.backend_signals.with_label_values(&["rate-limit"]);
         registry.register(Box::new(metrics.requests.clone()))?;
         registry.register(Box::new(metrics.failures.clone()))?;
-        registry.register(Box::new(metrics.backend_words.clone()))?;
+        registry.register(Box::new(metrics.backend_signals.clone()))?;
         registry.register(Box::new(metrics.rate_tokens.clone()))?;
         registry.register(Box::new(metrics.unread_headers.clone()))?;
         registry.register(Box::new(metrics.retries.clone()))?;
@@ -127,15 +128,15 @@
         Ok(metrics)
     }
 
-    /// Shows the counts of retries to `service`, with nothing counted yet.
-    pub fn show_retries(&self, service: &ServiceId) {
+    /// Creates the retry counters of `service` with the value 0.
+    pub fn init_retry_counters(&self, service: &ServiceId) {
         let service = service.as_str();
         self.service_retries.with_label_values(&[service, "paid"]);
         self.denied_retries
             .with_label_values(&[service, "budget-spent"]);
     }
 
-    /// Counts the decision about a retry to `service`.
+    /// Counts a retry decision for `service`.
     pub fn count_retry(&self, service: &ServiceId, verdict: RetryVerdict) {
         let labels = [service.as_str(), verdict.name()];
         if verdict.is_granted() {
--- a/crates/coursestand-proxy/src/phases.rs
+++ b/crates/coursestand-proxy/src/phases.rs
@@ -1,6 +1,6 @@
-//! The phases of a request, in their order. A deployment's rules are one
-//! implementation of [`RequestPhases`]; the exchange calls them and does the I/O
-//! between them, so that no rule ever waits or sees a socket.
+//! The phases of a request, in order. A deployment's rules are one implementation of
+//! [`RequestPhases`]; the exchange calls them and does the I/O between them, so that no rule
+//! ever waits or uses a socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::retry::RetryVerdict;
 use crate::tokens::TokenAnswer;
 
-/// What is known of a request before its body is read.
+/// The head of a request, before its body is read.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Identity that the caller gave it.
+    /// Id that the caller set.
     pub id: Option<String>,
     /// Method.
     pub method: Method,
@@ -29,40 +29,40 @@
     pub host: String,
     /// Path without the query.
     pub path: String,
-    /// The query, if there is one.
+    /// The query, if present.
     pub query: Option<String>,
-    /// The object that it concerns.
+    /// The object that the request concerns.
     pub affinity_key: Option<String>,
-    /// How long the caller waits.
-    pub patience: Option<Duration>,
+    /// How long the caller waits for the answer.
+    pub caller_timeout: Option<Duration>,
 }
 
-/// Where a request goes.
+/// Route and service of a request.
 #[derive(Clone, Debug)]
 pub struct Matched {
     /// The route.
     pub route: Arc<RouteEntry>,
     /// The service, chosen among those of the route.
     pub service: ServiceId,
-    /// Hash of the object that the request concerns, or any number.
+    /// Hash of the object that the request concerns, or a random number.
     pub key: u64,
-    /// Whether a back end that saw the object recently is quicker.
+    /// Whether the request names an object, so that a back end that has it warm is faster.
     pub has_object: bool,
-    /// What it has in common with requests that do the same to a back end; none where its
-    /// head doesn't tell.
+    /// Fingerprint that the request shares with requests that have the same effect on a back
+    /// end; none if its head does not determine that.
     pub fingerprint: Option<Fingerprint>,
-    /// How long it is held at most.
+    /// Time limit of the request.
     pub limit: Duration,
 }
 
-/// A back end to send to.
+/// A back end chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The back end and what decided.
-    pub asked: Asked,
+    /// The back end and the values that the choice was based on.
+    pub sent_request: Asked,
     /// When it was chosen, on the daemon's clock.
     pub chosen_at: Millis,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     /// Its service.
     pub service: ServiceId,
@@ -70,75 +70,75 @@
     pub zone: ZoneId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// That of the request.
+    /// Fingerprint of the request.
     pub fingerprint: Option<Fingerprint>,
-    /// Tells the back end's incarnation from others.
-    pub memory: u64,
+    /// Identifies the back end's incarnation.
+    pub incarnation_hash: u64,
     /// Whether the request has reached a back end before.
-    pub is_repeat: bool,
-    /// Whether control granted this sending, as the one trial of a request under which
-    /// back ends ended.
+    pub is_retry: bool,
+    /// Whether control granted this attempt as the one trial of a suspect request.
     pub is_trial: bool,
-    /// Until when it may be sent, where the back end has a rate limit.
+    /// Until when the request may be sent, if the back end has a rate limit.
     pub admitted_until: Option<Millis>,
 }
 
 impl Target {
-    /// The copy of the request that goes there.
-    pub fn copy(&self) -> SentCopy {
+    /// Returns the copy of the request that is sent to this back end.
+    pub fn sent_copy(&self) -> SentCopy {
         SentCopy {
-            backend: self.memory,
+            backend: self.incarnation_hash,
             sent_at: self.chosen_at,
         }
     }
 
-    /// The back end.
+    /// Returns the id of the back end.
     pub fn id(&self) -> &BackendId {
-        &self.asked.pick.id
+        &self.sent_request.pick.id
     }
 }
 
-/// How an attempt at a back end ended without a proper answer.
+/// How an attempt at a back end failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No connection could be made: nothing was sent.
     Unreachable,
-    /// The back end backs off, drains or has ended since it was chosen: nothing was sent.
+    /// Since it was chosen, the back end asked for a back-off, started to drain or crashed:
+    /// nothing was sent.
     Withdrawn,
-    /// The back end said that it did not run the request.
+    /// The back end reported that it did not run the request.
     Shed,
     /// Another instance has the address and did not run the request.
     Misdirected,
-    /// The answer was lost, broken or foreign: the request may have run.
+    /// The answer was lost, incomplete or invalid: the request may have run.
     Lost,
-    /// No answer came in time: the request may have run.
+    /// No answer was received in time: the request may have run.
     TimedOut,
-    /// Nothing came on the connection for far longer than usual, and the request may
+    /// Nothing was received on the connection for far longer than usual, and the request may
     /// be repeated: it may have run.
     Silent,
-    /// The back end failed at the request; its answer may be passed on.
+    /// The back end answered with a server error, which may be forwarded.
     Failed,
 }
 
-/// What is known of a copy of a request once nobody waits for its answer.
+/// State of a copy of a request once no answer to it is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnding {
-    /// It was read, or never will be.
-    Settled,
-    /// It was sent, and nothing came back: it may still be read.
-    InDoubt,
+    /// The back end read it, or never will.
+    Resolved,
+    /// It was sent without an answer: the back end may still read it.
+    Unresolved,
 }
 
 impl AttemptFailure {
-    /// Whether what was sent may still be read by the back end.
+    /// Returns whether the back end may still read what was sent.
     pub fn ending(self) -> AttemptEnding {
         match self {
-            AttemptFailure::TimedOut | AttemptFailure::Silent => AttemptEnding::InDoubt,
-            _ => AttemptEnding::Settled,
+            AttemptFailure::TimedOut | AttemptFailure::Silent => AttemptEnding::Unresolved,
+            _ => AttemptEnding::Resolved,
         }
     }
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AttemptFailure::Unreachable => "unreachable",
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether the request was sent to the back end.
+    /// Returns whether the request was sent to the back end.
     pub fn reached_back_end(self) -> bool {
         !matches!(
             self,
@@ -160,7 +160,7 @@
         )
     }
 
-    /// Whether it is sure that the request did not run.
+    /// Returns whether the request certainly did not run.
     pub fn did_not_run(self) -> bool {
         matches!(
             self,
@@ -171,7 +171,7 @@
         )
     }
 
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -183,90 +183,91 @@
     }
 }
 
-/// A connection on which nothing came for far longer than usual.
+/// A connection on which nothing was received for far longer than usual.
 #[derive(Clone, Debug)]
-pub struct Silence {
-    /// The back end that it led to.
+pub struct SilentConnection {
+    /// The back end at its other end.
     pub backend: Incarnation,
-    /// When the request was sent that got no answer.
+    /// When the unanswered request was sent.
     pub sent_at: Instant,
     /// The decision to send it again.
     pub retry: RetryVerdict,
 }
 
-/// What has been tried for a request so far.
+/// The attempts made for a request so far.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// Back ends that are not to get it again.
-    pub tried: Vec<BackendId>,
+    /// Back ends that must not get the request again.
+    pub excluded: Vec<BackendId>,
     /// Attempts that reached a back end.
     pub arrived: u32,
     /// Attempts that reached none.
     pub unreachable: u32,
-    /// Whether any of them may have run.
+    /// Whether the request may have run at any of them.
     pub may_have_run: bool,
-    /// [`Target::memory`] of the back ends to which the connection broke during an attempt.
+    /// [`Target::incarnation_hash`] of the back ends to which the connection broke during an
+    /// attempt.
     pub broken_backends: Vec<u64>,
-    /// The connection of an attempt that fell silent.
-    pub silence: Option<Silence>,
-    /// What was issued for the next attempt at a rate-limited back end.
+    /// The silent connection of an earlier attempt.
+    pub silent_connection: Option<SilentConnection>,
+    /// Token issued for the next attempt at a rate-limited back end.
     pub token: Option<SendToken>,
 }
 
-/// A request for a token that control has not answered yet.
+/// A token request that control has not answered yet.
 #[derive(Debug)]
-pub struct TokenWait {
+pub struct PendingToken {
     /// The rate-limited back end.
     pub instance: BackendId,
     /// Resolves with the answer.
     pub answer: oneshot::Receiver<TokenAnswer>,
 }
 
-/// The decisions about a request, in the order in which they are taken.
+/// The decisions about a request, in the order in which they are made.
 pub trait RequestPhases: Send + Sync {
     /// Finds the route and the service, or refuses the request.
     fn match_request(&self, head: &RequestHead) -> Result<Matched, Reason>;
 
-    /// Asks for leave to try a request that is sent only as a trial. What is returned ends
-    /// with the answer; [`Self::choose`] knows it then.
+    /// Asks control for a trial of a request that is sent only as a trial. The returned
+    /// receiver resolves with the answer, which [`Self::choose`] then takes into account.
     fn ask_for_trial(&self, matched: &Matched) -> Option<oneshot::Receiver<()>>;
 
-    /// Asks control for a token if the next attempt would go to a back end that named a rate
-    /// limit. What is issued is handed to [`Self::choose`] with the attempts.
-    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<TokenWait>;
+    /// Requests a token from control if the next attempt would go to a back end that announced
+    /// a rate limit. An issued token is passed to [`Self::choose`] with the attempts.
+    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<PendingToken>;
 
-    /// Chooses a back end. From here until [`Self::finished`] it counts as having
-    /// the request.
+    /// Chooses a back end. It counts as having the request until [`Self::finished`] is called.
     fn choose(&self, matched: &Matched, attempts: &Attempts) -> Result<Target, Reason>;
 
-    /// Whether the back end may still be sent the request for which it was chosen: a
-    /// connection takes time, and it may have asked for a back-off meanwhile.
-    fn is_open(&self, target: &Target) -> bool;
+    /// Returns whether the request may still be sent to the chosen back end: connecting takes
+    /// time, and the back end may have asked for a back-off in the meantime.
+    fn may_still_send(&self, target: &Target) -> bool;
 
-    /// The head of an answer came, whatever becomes of the rest of it: the back end may
-    /// have asked for a back-off, or said that it drains.
-    fn told(&self, target: &Target, report: &BackendReport);
+    /// Called when the head of an answer was received, whether or not the answer turns out to
+    /// be valid: the back end may ask for a back-off or report that it is draining.
+    fn head_received(&self, target: &Target, report: &BackendReport);
 
-    /// A back end answered, and what it said of itself.
+    /// Called when a back end answered; `report` is what it reported about itself.
     fn answered(&self, target: &Target, report: &BackendReport);
 
-    /// An attempt failed. `report` is what the back end said of itself, if it answered.
+    /// Called when an attempt failed. `report` is what the back end reported about itself, if
+    /// it answered.
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport);
 
-    /// The back end has ended: connections to it broke, and nobody is at its address.
-    /// `witnesses` were under way there.
-    fn ended(&self, target: &Target, witnesses: Vec<Fingerprint>);
+    /// Called when the back end crashed: connections to it broke, and its address refuses new
+    /// ones. The requests that were in flight there are passed along.
+    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>);
 
-    /// The back end no longer has the request, as far as this daemon can tell.
+    /// Called when the back end no longer has the request, as far as this daemon can tell.
     fn finished(&self, target: &Target, ending: AttemptEnding);
 
-    /// Whether the request may be sent again after `failure`, with `left` of its
-    /// time. Takes what the attempt costs from the budget.
+    /// Decides whether the request may be sent again after `failure`, with `time_left` until its
+    /// deadline. Takes the cost of the attempt from the budget.
     fn may_retry(
         &self,
         matched: &Matched,
         attempts: &Attempts,
         failure: AttemptFailure,
-        left: Duration,
+        time_left: Duration,
     ) -> RetryVerdict;
 }
--- a/crates/coursestand-proxy/src/pool.rs
+++ b/crates/coursestand-proxy/src/pool.rs
@@ -1,12 +1,13 @@
-//! Connections to back ends: few, kept while they are sound, and closed after
-//! anything unexpected.
+//! Pool of connections to back ends. A connection is kept while it is sound, and closed after
+//! any unexpected event.
 //!
-//! A connection that fell silent seldom did so alone: what broke it (a firewall that
-//! lost its state, a link that moved) broke others that were open then. So those to
-//! the same back end that brought no answer since are closed as soon as one is
-//! suspected, and those to all back ends once two of them are proven to be reachable
-//! while older connections to them are silent. However many connections are kept, two
-//! back ends' worth of requests then find out, instead of one request for each.
+//! A connection rarely falls silent alone: the cause (a firewall that lost its state, a link
+//! that moved) usually affects other connections that were open at the time. So as soon as one
+//! connection is suspected to be silent, the connections to the same back end that have
+//! brought no answer since are closed; and once two back ends have proved to be reachable
+//! while older connections to them are silent, those to all back ends are closed. This bounds
+//! the number of requests that run into silent connections by those of two back ends, however
+//! many connections are pooled.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,37 +24,38 @@
 use tokio::time::Instant;
 
 use crate::connect::connect;
-use crate::passing_body::PassingBody;
-use crate::phases::Silence;
+use crate::phases::SilentConnection;
+use crate::streamed_request_body::StreamedRequestBody;
 
-/// Body of a request on its way to a back end: held whole, or passed on.
-pub type RequestBody = Either<Full<Bytes>, PassingBody>;
+/// Body of a request to a back end: buffered or streamed.
+pub type RequestBody = Either<Full<Bytes>, StreamedRequestBody>;
 
-/// How long a back end keeps an idle connection when it does not say.
+/// Keep-alive time assumed for a back end that announces none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// Part of the keep-alive time after which a connection is not used again.
-const USED_PART_OF_KEEP_ALIVE: f64 = 0.7;
-/// A connection whose peer confirms nothing for this long is lost: the bound within
-/// which a silent one ends that rests, or that carries a request which may not be
-/// repeated. Where the silence shows in a missing answer only, `AnswerTimes` bounds it.
-const SILENCE: Duration = Duration::from_secs(2);
-/// A connection whose exchange has not ended by then is closed.
-const SETTLE: Duration = Duration::from_millis(500);
-
-/// Silences at two back ends within this time have the same cause.
-const COMMON_CAUSE: Duration = Duration::from_secs(5);
-
-/// No connection could be made; no byte of a request left.
+/// Fraction of the keep-alive time after which a connection is not reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// A connection whose peer acknowledges nothing for this long is lost. This bounds the time
+/// that a silent connection stays open if it is idle, or if it carries a request that may not
+/// be repeated. If the silence shows only as a missing answer, `AnswerTimes` bounds it.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time within which a connection must be ready again after an exchange; otherwise it is
+/// closed.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Silent connections to two back ends within this time have the same cause.
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(5);
+
+/// No connection could be made; nothing of the request was sent.
 #[derive(Debug, Snafu)]
 #[snafu(display("no connection to {address}: {reason}"))]
 pub struct ConnectError {
-    /// The back end.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// Cause, as text of the layer below.
+    /// Cause, as the text of the underlying error.
     pub reason: String,
 }
 
-/// Ends the task that drives a connection, and with it the connection.
+/// Aborts the task that drives a connection when dropped, which closes the connection.
 struct Driver(JoinHandle<()>);
 
 impl Drop for Driver {
@@ -62,61 +64,61 @@
     }
 }
 
-/// A connection to a back end. Dropped, it closes at once.
+/// A connection to a back end. Dropping it closes it at once.
 pub struct Connection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<RequestBody>,
-    /// Whether it carried a request before.
+    /// Whether it has carried an earlier request.
     pub is_reused: bool,
     driver: Driver,
 }
 
 struct Idle {
     connection: Connection,
-    /// When its last answer was whole.
+    /// When its last answer was complete.
     answered_at: Instant,
-    unused_from: Instant,
+    expires_at: Instant,
 }
 
-/// Idle connections by incarnation: one that a back end had in its life before leads
-/// nowhere, or to whoever has the address now.
+/// Idle connections by incarnation: a connection to an earlier incarnation of a back end is
+/// dead, or leads to another process at the same address.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<Incarnation, Vec<Idle>>>,
-    last_silence: Mutex<Option<Silence>>,
+    last_silent: Mutex<Option<SilentConnection>>,
 }
 
 impl Pool {
-    /// A connection to the back end that a request was sent on at `sent_at` seems
-    /// silent: closes those to it that brought no answer since.
-    pub fn distrust(&self, id: &Incarnation, sent_at: Instant) {
-        if let Some(known) = self.idle().get_mut(id) {
-            known.retain(|idle| idle.answered_at >= sent_at);
+    /// Handles a connection that seems silent since a request was sent on it at `sent_at`:
+    /// closes the idle connections to the same back end that have brought no answer since.
+    pub fn close_unanswered_since(&self, id: &Incarnation, sent_at: Instant) {
+        if let Some(connections) = self.idle().get_mut(id) {
+            connections.retain(|idle| idle.answered_at >= sent_at);
         }
     }
 
-    /// A connection proved to be silent: its back end answered on another one. After
-    /// two back ends' silences, those to all back ends that brought no answer since
-    /// the first of them are closed.
-    pub fn note_silence(&self, silence: &Silence) {
+    /// Handles a connection that proved to be silent, because its back end answered on another
+    /// one. After silent connections to two back ends, the connections to all back ends that
+    /// have brought no answer since the first of them are closed.
+    pub fn note_silent_connection(&self, silent: &SilentConnection) {
         let last = self
-            .last_silence
+            .last_silent
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .replace(silence.clone());
+            .replace(silent.clone());
         let Some(last) = last else {
             return;
         };
-        let (earlier, later) = if last.sent_at < silence.sent_at {
-            (last.sent_at, silence.sent_at)
+        let (earlier, later) = if last.sent_at < silent.sent_at {
+            (last.sent_at, silent.sent_at)
         } else {
-            (silence.sent_at, last.sent_at)
+            (silent.sent_at, last.sent_at)
         };
-        if last.backend == silence.backend || later - earlier > COMMON_CAUSE {
+        if last.backend == silent.backend || later - earlier > COMMON_CAUSE_WINDOW {
             return;
         }
-        for known in self.idle().values_mut() {
-            known.retain(|idle| idle.answered_at >= earlier);
+        for connections in self.idle().values_mut() {
+            connections.retain(|idle| idle.answered_at >= earlier);
         }
     }
 
@@ -124,13 +126,13 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection to the instance, the one used last first.
+    /// Takes an idle connection to the instance, the most recently used one first.
     pub fn take(&self, id: &Incarnation) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle();
-        let known = idle.get_mut(id)?;
-        while let Some(candidate) = known.pop() {
-            let is_usable = now < candidate.unused_from && candidate.connection.sender.is_ready();
+        let connections = idle.get_mut(id)?;
+        while let Some(candidate) = connections.pop() {
+            let is_usable = now < candidate.expires_at && candidate.connection.sender.is_ready();
             if is_usable {
                 return Some(candidate.connection);
             }
@@ -138,21 +140,21 @@
         None
     }
 
-    /// A new connection, made within `limit`.
+    /// Opens a new connection within `limit`.
     pub async fn open(
         &self,
         address: SocketAddr,
         limit: Duration,
     ) -> Result<Connection, ConnectError> {
-        let failed = |reason: String| ConnectError { address, reason };
-        let stream = connect(address, limit, SILENCE)
+        let connect_error = |reason: String| ConnectError { address, reason };
+        let stream = connect(address, limit, ACKNOWLEDGEMENT_TIMEOUT)
             .await
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| connect_error(error.to_string()))?;
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| connect_error(error.to_string()))?;
         let driver = tokio::spawn(async move {
-            // Its end shows at the sender; a fault of the peer is judged there.
+            // The sender observes the end of the connection and handles errors of the peer.
             let _ = driver.await;
         });
         Ok(Connection {
@@ -162,8 +164,8 @@
         })
     }
 
-    /// Takes a connection back whose answer has ended, once its request has
-    /// ended as well.
+    /// Returns a connection to the pool after its answer has ended, once its request has been
+    /// sent completely as well.
     pub async fn give_back(
         &self,
         id: Incarnation,
@@ -171,8 +173,8 @@
         keep_alive: Option<Duration>,
     ) {
         let answered_at = Instant::now();
-        let settled = tokio::time::timeout(SETTLE, connection.sender.ready()).await;
-        if !matches!(settled, Ok(Ok(()))) || connection.driver.0.is_finished() {
+        let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
+        if !matches!(ready, Ok(Ok(()))) || connection.driver.0.is_finished() {
             return;
         }
         connection.is_reused = true;
@@ -180,22 +182,22 @@
         let idle = Idle {
             connection,
             answered_at,
-            unused_from: Instant::now() + keep_alive.mul_f64(USED_PART_OF_KEEP_ALIVE),
+            expires_at: Instant::now() + keep_alive.mul_f64(KEEP_ALIVE_FRACTION),
         };
         self.idle().entry(id).or_default().push(idle);
     }
 
-    /// Closes connections that rested too long, and those to instances that
-    /// `is_known` does not hold for.
+    /// Closes connections that have been idle for too long, and those to instances for which
+    /// `is_known` returns false.
     pub fn close_idle(&self, is_known: impl Fn(&Incarnation) -> bool) {
         let now = Instant::now();
         self.idle().retain(|id, idle| {
-            idle.retain(|one| now < one.unused_from && !one.connection.sender.is_closed());
+            idle.retain(|entry| now < entry.expires_at && !entry.connection.sender.is_closed());
             !idle.is_empty() && is_known(id)
         });
     }
 
-    /// Idle connections.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle().values().map(Vec::len).sum()
     }
--- a/crates/coursestand-proxy/src/story.rs
+++ b/crates/coursestand-proxy/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What became of one request, for logs and metrics: one line at its end.
+//! Logs one line and updates the metrics at the end of each request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::phases::{Matched, Target};
 
 const LOG: &str = "proxy";
-/// Outcome of a request whose caller went away before its answer.
-const CALLER_LEFT: &str = "caller-left";
+/// Outcome of a request whose caller disconnected before the answer.
+const OUTCOME_CALLER_LEFT: &str = "caller-left";
 
-/// Follows one request. Dropped before its end, it tells that the caller left.
-pub(crate) struct Story<'a> {
+/// Log record of one request. Dropping it before its end logs that the caller disconnected.
+pub(crate) struct RequestLog<'a> {
     metrics: &'a ProxyMetrics,
     id: Option<String>,
     arrived: Instant,
@@ -28,14 +28,15 @@
     rank: usize,
     load: f64,
     load_age_ms: u64,
-    knows: bool,
+    is_warm: bool,
     expected_ms: Option<u64>,
     attempts: u32,
     has_ended: bool,
 }
 
-impl<'a> Story<'a> {
-    /// A request was read at `arrived`, after it had waited for about `waited`.
+impl<'a> RequestLog<'a> {
+    /// Starts the record of a request that was read at `arrived`, after it had been queued for
+    /// about `waited`.
     pub(crate) fn begin(
         metrics: &'a ProxyMetrics,
         id: Option<String>,
@@ -44,7 +45,7 @@
     ) -> Self {
         metrics.in_flight.inc();
         metrics.waited.observe(waited.as_secs_f64());
-        Story {
+        RequestLog {
             metrics,
             id,
             arrived,
@@ -56,7 +57,7 @@
             rank: 0,
             load: 0.0,
             load_age_ms: 0,
-            knows: false,
+            is_warm: false,
             expected_ms: None,
             attempts: 0,
             has_ended: false,
@@ -71,20 +72,20 @@
 
     pub(crate) fn sent_to(&mut self, target: &Target) {
         self.attempts += 1;
-        self.instance = Some(target.asked.pick.id.clone());
-        self.rank = target.asked.pick.rank;
-        self.load = target.asked.pick.load;
-        self.load_age_ms = target.asked.pick.load_age_ms;
-        self.knows = target.asked.pick.knows;
-        self.expected_ms = target.asked.pick.expected_ms.map(|time| time as u64);
+        self.instance = Some(target.sent_request.pick.id.clone());
+        self.rank = target.sent_request.pick.rank;
+        self.load = target.sent_request.pick.load;
+        self.load_age_ms = target.sent_request.pick.load_age_ms;
+        self.is_warm = target.sent_request.pick.knows;
+        self.expected_ms = target.sent_request.pick.expected_ms.map(|time| time as u64);
     }
 
     pub(crate) fn end(&mut self, outcome: &str, status: StatusCode) {
         self.has_ended = true;
-        self.tell(outcome, status.as_u16());
+        self.record(outcome, status.as_u16());
     }
 
-    fn tell(&self, outcome: &str, status: u16) {
+    fn record(&self, outcome: &str, status: u16) {
         let took = self.arrived.elapsed();
         self.metrics.in_flight.dec();
         self.metrics.duration.observe(took.as_secs_f64());
@@ -103,7 +104,7 @@
             rank = self.rank,
             load = self.load,
             load_age_ms = self.load_age_ms,
-            knows = self.knows,
+            knows = self.is_warm,
             expected_ms = self.expected_ms,
             attempts = self.attempts,
             waited_ms = self.waited.as_millis() as u64,
@@ -114,10 +115,10 @@
     }
 }
 
-impl Drop for Story<'_> {
+impl Drop for RequestLog<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.tell(CALLER_LEFT, 0);
+            self.record(OUTCOME_CALLER_LEFT, 0);
         }
     }
 }
--- a/crates/coursestand-proxy/src/told.rs
+++ b/crates/coursestand-proxy/src/response_metadata.rs
@@ -1,4 +1,4 @@
-//! What a back end says of itself in the head of an answer, read in one place.
+//! Reads what the head of an answer reports about its back end.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 use crate::header_names::HeaderNames;
 use crate::headers::{closes_connection, keep_alive_of, text_of};
 
-/// What a back end says that it drains by.
-const DRAINS: &str = "1";
+/// Header value that reports that the back end is draining.
+const IS_DRAINING: &str = "1";
 
-/// What the head of an answer tells of its back end and of the connection.
+/// What the head of an answer reports about its back end and the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// What it says of the back end.
+pub struct ResponseMetadata {
+    /// Report on the back end.
     pub report: BackendReport,
-    /// How long the back end keeps the connection while it rests.
+    /// How long the back end keeps the connection open while it is idle.
     pub keep_alive: Option<Duration>,
-    /// Whether the connection ends after this answer.
+    /// Whether the back end closes the connection after this answer.
     pub closes: bool,
 }
 
-impl Told {
+impl ResponseMetadata {
     /// Reads the head of an answer.
-    pub fn read(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> Told {
-        Told {
+    pub fn read(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
+        ResponseMetadata {
             report: BackendReport {
                 load: load_of(names, headers),
                 backoff_ms: backoff_of(status, headers),
-                drains: text_of(headers, &names.drains).map(str::trim) == Some(DRAINS),
+                drains: text_of(headers, &names.drains).map(str::trim) == Some(IS_DRAINING),
                 rate: rate_of(names, status, headers),
             },
             keep_alive: keep_alive_of(headers),
@@ -40,7 +40,7 @@
     }
 }
 
-/// A load report: `running,waiting,slots`.
+/// Parses a load report: `running,waiting,slots`.
 fn load_of(names: &HeaderNames, headers: &HeaderMap) -> Option<LoadReport> {
     let mut parts = text_of(headers, &names.server_load)?.split(',');
     let running = parts.next()?.trim().parse().ok()?;
@@ -48,19 +48,20 @@
     Some(LoadReport { running, waiting })
 }
 
-/// For how long the back end wants no requests, in milliseconds: the longest time that a
-/// 503 gives. A 429 concerns who asked, and other statuses nothing but their request.
+/// Returns the back-off that the back end asks for, in milliseconds: the longest time that a
+/// 503 gives. A 429 concerns the sender of the request only, and other statuses concern the
+/// request only.
 fn backoff_of(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
-    let told = headers.get_all(RETRY_AFTER).iter();
-    told.filter_map(millis_of_seconds).max()
+    let values = headers.get_all(RETRY_AFTER).iter();
+    values.filter_map(millis_of_seconds).max()
 }
 
-/// What the answer says of the back end's rate limit: the lowest that it names. One that
-/// names none tells that there is none, unless it is a failure: that need not come from where
-/// the limit is kept.
+/// Returns the rate limit signal of the answer: the lowest limit that it names. An answer
+/// without a limit means that there is none, unless it is a server error: that may have been
+/// produced in front of the component that applies the limit.
 fn rate_of(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> RateWord {
     let named = headers.get_all(&names.rate_limit);
     let rates = named.iter().filter_map(decimal_of).map(Rate::per_second);
@@ -71,7 +72,7 @@
     }
 }
 
-/// A decimal number without sign or exponent.
+/// Parses a decimal number without sign or exponent.
 fn decimal_of(value: &HeaderValue) -> Option<f64> {
     let text = value.to_str().ok()?.trim();
     let is_decimal = text
@@ -80,10 +81,11 @@
     text.parse().ok().filter(|_| is_decimal)
 }
 
-/// Milliseconds of decimal seconds. Dates are not read: clocks differ between machines.
+/// Converts decimal seconds to milliseconds. Dates are not supported, since clocks differ
+/// between machines.
 fn millis_of_seconds(value: &HeaderValue) -> Option<u64> {
     let seconds = decimal_of(value)?;
     let millis = (seconds * 1_000.0).ceil();
-    // Conversion keeps to the bounds of the type, whatever was told.
+    // The conversion saturates at the bounds of the type.
     (millis > 0.0).then_some(millis as u64)
 }
--- a/crates/coursestand-proxy/src/retry.rs
+++ b/crates/coursestand-proxy/src/retry.rs
@@ -1,22 +1,23 @@
-//! Whether a request is sent again, what that costs, and why it is not.
+//! Decisions about retries: whether a request is sent again, what that costs, and why it is
+//! not.
 
-/// What the budget of a service looked like when a retry was decided.
+/// State of a service's retry budget when a retry was decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BudgetView {
-    /// Retries that are left to this daemon.
-    pub left: f64,
-    /// Entry daemons among which the fixed allowance is divided.
+    /// Retries that this daemon has left.
+    pub remaining: f64,
+    /// Entry daemons that share the fixed allowance.
     pub daemons: usize,
-    /// Retries held back for copies of requests that may still arrive.
-    pub held: usize,
+    /// Retries reserved for copies of requests that may still arrive.
+    pub withheld: usize,
 }
 
 /// The decision about one retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryVerdict {
-    /// Granted; nothing arrived anywhere before, so it costs nothing.
+    /// Granted at no cost: no back end received the request.
     Free,
-    /// Granted, and taken from the budget, which is this afterwards.
+    /// Granted, and taken from the budget, which has this state afterwards.
     Paid(BudgetView),
     /// Not granted.
     Denied(RetryDenial),
@@ -27,11 +28,11 @@
 pub enum RetryDenial {
     /// Too little of its time is left.
     NoTime,
-    /// Its body was passed on and is not kept.
+    /// Its body was streamed and is not buffered.
     BodySpent,
-    /// It may have run, and may run once only.
+    /// It may have run, and must not run twice.
     MayHaveRun,
-    /// Too many attempts found nobody.
+    /// Too many attempts reached no back end.
     Unreachable,
     /// It was sent to as many back ends as its route allows.
     AttemptsSpent,
@@ -40,12 +41,12 @@
 }
 
 impl RetryVerdict {
-    /// Whether the request is sent again.
+    /// Returns whether the request is sent again.
     pub fn is_granted(self) -> bool {
         !matches!(self, RetryVerdict::Denied(_))
     }
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RetryVerdict::Free => "free",
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The budget, where it decided.
+    /// Returns the budget, if the decision depended on it.
     pub fn budget(self) -> Option<BudgetView> {
         match self {
             RetryVerdict::Paid(budget) | RetryVerdict::Denied(RetryDenial::BudgetSpent(budget)) => {
@@ -66,7 +67,7 @@
 }
 
 impl RetryDenial {
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RetryDenial::NoTime => "no-time",
--- a/crates/coursestand-proxy/src/router.rs
+++ b/crates/coursestand-proxy/src/router.rs
@@ -1,4 +1,4 @@
-//! The phases by the catalog: routes, splits, affinity, bounded retries.
+//! Request phases driven by the catalog: routes, splits, affinity, limited retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,36 +19,37 @@
 use tokio::sync::oneshot;
 
 use crate::answer::Reason;
-use crate::edge_state::{Beliefs, EdgeState};
+use crate::edge_state::{EdgeState, RoutingState};
 use crate::phases::{
-    AttemptEnding, AttemptFailure, Attempts, Matched, RequestHead, RequestPhases, Target, TokenWait,
+    AttemptEnding, AttemptFailure, Attempts, Matched, PendingToken, RequestHead, RequestPhases,
+    Target,
 };
 use crate::retry::{BudgetView, RetryDenial, RetryVerdict};
 
 const LOG: &str = "proxy";
-/// Attempts that may end without reaching a back end.
-const MAX_UNREACHABLE: u32 = 3;
-/// With less time left than this, another attempt is of no use.
-const LEAST_TIME_TO_RETRY: Duration = Duration::from_millis(20);
+/// Attempts that may fail before they reach a back end.
+const MAX_UNREACHABLE_ATTEMPTS: u32 = 3;
+/// A retry with less time left than this cannot succeed.
+const MIN_TIME_TO_RETRY: Duration = Duration::from_millis(20);
 
-/// A daemon that starts hears within this time which requests end back ends.
-const STARTING_PAUSE_MS: Millis = 1_000;
+/// Time within which a starting daemon receives the crash records.
+const SYNC_RETRY_DELAY_MS: Millis = 1_000;
 
-/// Decides by what the daemon believes.
+/// Makes the routing decisions from the daemon's state.
 pub struct Router {
     state: Arc<EdgeState>,
 }
 
 impl Router {
-    /// Decides by `state`.
+    /// Creates a router that reads `state`.
     pub fn new(state: Arc<EdgeState>) -> Router {
         Router { state }
     }
 
-    /// Picks the back end of the next attempt.
+    /// Picks the back end for the next attempt.
     fn pick(
         &self,
-        beliefs: &mut Beliefs,
+        routing: &mut RoutingState,
         now: Millis,
         matched: &Matched,
         attempts: &Attempts,
@@ -60,34 +61,40 @@
             has_object: matched.has_object,
             objective_ms: matched.route.route.target_latency_ms,
             allowed_regions: &matched.route.route.allowed_regions,
-            excluded: &attempts.tried,
+            excluded: &attempts.excluded,
             limits,
             now,
         };
-        beliefs.picker.pick(
-            &beliefs.backends,
-            &beliefs.catalog,
-            &beliefs.owners,
+        routing.picker.pick(
+            &routing.backends,
+            &routing.catalog,
+            &routing.owners,
             &request,
         )
     }
 
-    /// Whether control can be asked for tokens: one that goes without it has a part of its own.
-    fn issues_tokens(&self, beliefs: &Beliefs, now: Millis) -> bool {
-        beliefs.owners.current().is_some() && !self.state.tokens().is_silent(now)
+    /// Returns whether control can be asked for tokens. A daemon without control uses its own
+    /// share of the rate limit.
+    fn can_issue_tokens(&self, routing: &RoutingState, now: Millis) -> bool {
+        routing.owners.current().is_some() && !self.state.tokens().is_silent(now)
     }
 
-    /// How the next attempt may reach rate-limited back ends.
-    fn access(&self, beliefs: &Beliefs, now: Millis, attempts: &Attempts) -> LimitAccess {
-        if beliefs.backends.limited() == 0 {
+    /// Returns how the next attempt may use rate-limited back ends.
+    fn limit_access(
+        &self,
+        routing: &RoutingState,
+        now: Millis,
+        attempts: &Attempts,
+    ) -> LimitAccess {
+        if routing.backends.limited() == 0 {
             return LimitAccess::default();
         }
-        let daemons = beliefs.allowance.daemons(now);
+        let daemons = routing.allowance.daemons(now);
         let own_part = OwnPart {
-            daemon: beliefs.fatal.own(),
+            daemon: routing.fatal.own(),
             daemons,
         };
-        let is_alone = !self.issues_tokens(beliefs, now);
+        let is_alone = !self.can_issue_tokens(routing, now);
         let by = AccessBy::Sending {
             token: attempts.token,
             own_part: is_alone.then_some(own_part),
@@ -95,11 +102,11 @@
         LimitAccess { daemons, by }
     }
 
-    /// The back end's answer says something of its rate limit.
+    /// Applies the rate limit signal of a back end's answer.
     fn note_rate(&self, now: Millis, target: &Target, report: &BackendReport, is_whole: bool) {
         let id = target.id();
-        let mut beliefs = self.state.beliefs();
-        if !is_current(&beliefs, target) {
+        let mut routing = self.state.routing();
+        if !is_current(&routing, target) {
             return;
         }
         let reading = Reading {
@@ -107,13 +114,13 @@
             sent_at: target.chosen_at,
             is_whole,
         };
-        let Some(change) = beliefs.backends.note_rate(now, id, reading) else {
+        let Some(change) = routing.backends.note_rate(now, id, reading) else {
             return;
         };
         if change == LimitChange::Lifted {
-            beliefs.limit_reports.forget(target.memory);
+            routing.limit_reports.forget(target.incarnation_hash);
         }
-        drop(beliefs);
+        drop(routing);
         let rate = match change {
             LimitChange::Limited(rate) => Some(rate),
             LimitChange::Lifted => None,
@@ -121,48 +128,50 @@
         log::info!(target: LOG, instance = id.as_str(), service = target.service.as_str(),
             limit_per_second = rate.map(|rate| rate.as_per_second());
             "a back end changed: its rate limit");
-        self.state.tell_limit(target.memory, rate);
+        self.state.report_rate_limit(target.incarnation_hash, rate);
     }
 
-    /// Refuses a request under which back ends ended, unless this is where it is tried.
-    fn may_go(
+    /// Refuses a request that is suspected to crash back ends, unless it may run at this
+    /// daemon.
+    fn check_suspect(
         &self,
-        beliefs: &Beliefs,
+        routing: &RoutingState,
         now: Millis,
         fingerprint: Fingerprint,
         attempts: &Attempts,
     ) -> Result<(), Reason> {
-        let looked_at = look_at(beliefs, now, fingerprint, attempts);
-        if let Some(case) = beliefs.fatal.view(now, fingerprint) {
-            let verdict = looked_at.map_or_else(Reason::name, |()| "sent");
-            log::info!(target: LOG, fingerprint = fingerprint.0, ends = case.ends,
-                convictions = case.convictions, attempt = attempts.arrived + 1,
-                is_owner = is_owner(beliefs, now, fingerprint),
-                is_following = beliefs.owners.current().is_some(),
+        let checked = suspect_verdict(routing, now, fingerprint, attempts);
+        if let Some(crash_record) = routing.fatal.view(now, fingerprint) {
+            let verdict = checked.map_or_else(Reason::name, |()| "sent");
+            log::info!(target: LOG, fingerprint = fingerprint.0, ends = crash_record.ends,
+                convictions = crash_record.convictions, attempt = attempts.arrived + 1,
+                is_owner = is_owner(routing, now, fingerprint),
+                is_following = routing.owners.current().is_some(),
                 up_ms = now, outcome = verdict; "a request under which back ends ended was looked at");
         }
-        looked_at
+        checked
     }
 
-    /// The back end has read what was sent to it before the request that it answered.
-    fn settle_until(&self, beliefs: &mut Beliefs, now: Millis, target: &Target) {
+    /// Resolves the copies that were sent to the back end before the request that it answered:
+    /// it has read them.
+    fn resolve_up_to(&self, routing: &mut RoutingState, now: Millis, target: &Target) {
         let limits = self.state.bounds().retries;
-        if let Some(budget) = beliefs.budgets.get_mut(&target.service) {
-            let newest = target.copy();
+        if let Some(budget) = routing.budgets.get_mut(&target.service) {
+            let newest = target.sent_copy();
             budget.unsettled().settle_until(now, limits, newest);
         }
     }
 
-    fn take_retry(&self, beliefs: &mut Beliefs, matched: &Matched) -> RetryVerdict {
+    fn take_retry(&self, routing: &mut RoutingState, matched: &Matched) -> RetryVerdict {
         let limits = self.state.bounds().retries;
         let now = self.state.now();
-        let allowance = &beliefs.allowance;
-        let budget = beliefs.budgets.entry(matched.service.clone()).or_default();
+        let allowance = &routing.allowance;
+        let budget = routing.budgets.entry(matched.service.clone()).or_default();
         let is_paid = budget.spend(now, limits, allowance);
         let view = BudgetView {
-            left: budget.left(now, limits, allowance),
+            remaining: budget.left(now, limits, allowance),
             daemons: allowance.daemons(now),
-            held: budget.held(now, limits),
+            withheld: budget.held(now, limits),
         };
         if is_paid {
             RetryVerdict::Paid(view)
@@ -172,51 +181,53 @@
     }
 }
 
-/// Whether a request under which back ends may have ended is sent.
-fn look_at(
-    beliefs: &Beliefs,
+/// Returns whether a request that may have crashed back ends is sent.
+fn suspect_verdict(
+    routing: &RoutingState,
     now: Millis,
     fingerprint: Fingerprint,
     attempts: &Attempts,
 ) -> Result<(), Reason> {
-    // The back end may have ended under it, and others may know it for that.
-    if !attempts.broken_backends.is_empty() && !beliefs.is_informed {
-        let again_in_ms = STARTING_PAUSE_MS;
+    // The request may have crashed the back end, and other daemons may have a crash record of
+    // it already.
+    if !attempts.broken_backends.is_empty() && !routing.is_synced {
+        let again_in_ms = SYNC_RETRY_DELAY_MS;
         return Err(Reason::Suspected { again_in_ms });
     }
-    if beliefs.fatal.view(now, fingerprint).is_none() {
+    if routing.fatal.view(now, fingerprint).is_none() {
         return Ok(());
     }
-    let may_go = if attempts.arrived > 0 {
+    let allowed = if attempts.arrived > 0 {
         let broken_backends = &attempts.broken_backends;
-        beliefs.fatal.may_repeat(now, fingerprint, broken_backends)
+        routing.fatal.may_repeat(now, fingerprint, broken_backends)
     } else {
-        let is_owner = is_owner(beliefs, now, fingerprint);
-        beliefs.fatal.may_run(now, fingerprint, is_owner)
+        let is_owner = is_owner(routing, now, fingerprint);
+        routing.fatal.may_run(now, fingerprint, is_owner)
     };
-    may_go.map_err(|held| match held {
+    allowed.map_err(|refusal| match refusal {
         Held::Suspected { again_in_ms } | Held::NeedsTrial { again_in_ms } => {
             Reason::Suspected { again_in_ms }
         }
-        Held::Convicted { again_in_ms } => Reason::Convicted { again_in_ms },
+        Held::Convicted { again_in_ms } => Reason::Quarantined { again_in_ms },
     })
 }
 
-/// Whether suspects with this fingerprint run at this daemon. Each has one owner among the
-/// daemons that are connected; a daemon that is cut off goes by what it sees itself.
-fn is_owner(beliefs: &Beliefs, now: Millis, fingerprint: Fingerprint) -> bool {
-    let owners = &beliefs.owners;
+/// Returns whether suspects with this fingerprint run at this daemon. Each has one owner among
+/// the connected daemons; a daemon without control relies on its own observations.
+fn is_owner(routing: &RoutingState, now: Millis, fingerprint: Fingerprint) -> bool {
+    let owners = &routing.owners;
     if owners.current().is_none() {
         return true;
     }
     let name = BackendId(format!("{:016x}", fingerprint.0));
-    owners.is_owner(now, beliefs.picker.daemon(), &name)
+    owners.is_owner(now, routing.picker.daemon(), &name)
 }
 
-/// What a request has in common with those that do the same to a back end: all of its head
-/// but the caller and the time. Where a request with a body names no object, its head
-/// doesn't tell. The route is no part of it: operators change routes, and the back ends of the
-/// service get the same request as before.
+/// Returns the fingerprint of a request, which it shares with requests that have the same
+/// effect on a back end: all of its head except the caller and the time. Returns none for a
+/// request with a body that names no object, since its head does not determine the effect. The
+/// route is left out: operators change routes, and the back ends of the service get the same
+/// request as before.
 fn fingerprint_of(head: &RequestHead, service: &str) -> Option<Fingerprint> {
     let has_body = head.method != Method::GET && head.method != Method::HEAD;
     if has_body && head.affinity_key.is_none() {
@@ -234,8 +245,7 @@
     hashes.reduce(combine).map(Fingerprint)
 }
 
-/// Until when a request may be sent to the back end that was picked for it, if that has a rate
-/// limit.
+/// Returns until when a request may be sent to the picked back end, if that has a rate limit.
 fn admitted_until(backend: &Backend, now: Millis, attempts: &Attempts) -> Option<Millis> {
     backend.limit()?;
     let token = attempts.token;
@@ -243,40 +253,40 @@
     Some(token.map_or(now + TOKEN_LIFETIME_MS, |token| token.valid_until))
 }
 
-/// Whether the rate limit of the back end, which may be newer than the choice, still allows the
-/// request.
+/// Returns whether the rate limit of the back end, which may be newer than the choice, still
+/// allows the request.
 fn is_admitted(backend: &Backend, now: Millis, target: &Target) -> bool {
     let is_in_time = target.admitted_until.is_some_and(|until| now <= until);
     backend.limit().is_none() || is_in_time
 }
 
-/// Whether the back end is still the incarnation that got the request. What becomes of
-/// the request says nothing of a later one.
-fn is_current(beliefs: &Beliefs, target: &Target) -> bool {
-    let backend = beliefs.backends.get(target.id());
+/// Returns whether the back end is still the incarnation that got the request. The outcome of
+/// the request says nothing about a later incarnation.
+fn is_current(routing: &RoutingState, target: &Target) -> bool {
+    let backend = routing.backends.get(target.id());
     backend.is_some_and(|backend| backend.instance.is_of(&target.incarnation))
 }
 
 impl RequestPhases for Router {
     fn match_request(&self, head: &RequestHead) -> Result<Matched, Reason> {
         let limits = self.state.bounds().retries;
-        let mut beliefs = self.state.beliefs();
-        if beliefs.catalog.is_empty() {
+        let mut routing = self.state.routing();
+        if routing.catalog.is_empty() {
             return Err(Reason::NoCatalog);
         }
-        let entry = beliefs.routes.find(&head.host, &head.path).cloned();
+        let entry = routing.routes.find(&head.host, &head.path).cloned();
         let route = entry.ok_or(Reason::NoRoute)?;
-        let parts = route.route.target.services();
-        let index = if parts.len() > 1 {
-            let weights: Vec<u32> = parts.iter().map(|(_, weight)| *weight).collect();
-            let split = beliefs.splits.entry(route.name.clone());
+        let services = route.route.target.services();
+        let index = if services.len() > 1 {
+            let weights: Vec<u32> = services.iter().map(|(_, weight)| *weight).collect();
+            let split = routing.splits.entry(route.name.clone());
             let split = split.or_insert_with(|| SplitState::drawn(&weights, rand::random()));
             split.next(&weights)
         } else {
             0
         };
-        let service = parts[index].0.clone();
-        let budget = beliefs.budgets.entry(service.clone()).or_default();
+        let service = services[index].0.clone();
+        let budget = routing.budgets.entry(service.clone()).or_default();
         budget.earn(self.state.now(), limits);
         let object = head
             .affinity_key
@@ -285,9 +295,9 @@
             .map(|key| hash_of(key));
         let timeout = Duration::from_millis(route.route.timeout_ms);
         let limit = head
-            .patience
-            .map_or(timeout, |patience| patience.min(timeout));
-        drop(parts);
+            .caller_timeout
+            .map_or(timeout, |caller_timeout| caller_timeout.min(timeout));
+        drop(services);
         let fingerprint = fingerprint_of(head, service.as_str());
         Ok(Matched {
             fingerprint,
@@ -302,36 +312,38 @@
     fn ask_for_trial(&self, matched: &Matched) -> Option<oneshot::Receiver<()>> {
         let request = matched.fingerprint?;
         let now = self.state.now();
-        let held = {
-            let beliefs = self.state.beliefs();
-            // Control grants trials, so without it there is none.
-            beliefs.owners.current()?;
-            beliefs.fatal.may_run(now, request, false)
+        let permission = {
+            let routing = self.state.routing();
+            // Trials are granted by control only.
+            routing.owners.current()?;
+            routing.fatal.may_run(now, request, false)
         };
-        match held {
+        match permission {
             Err(Held::NeedsTrial { .. }) => self.state.ask_for_trial(request),
             _ => None,
         }
     }
 
-    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<TokenWait> {
+    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<PendingToken> {
         let now = self.state.now();
-        let mut guard = self.state.beliefs();
-        let beliefs = &mut *guard;
-        if beliefs.backends.limited() == 0 {
+        let mut guard = self.state.routing();
+        let routing = &mut *guard;
+        if routing.backends.limited() == 0 {
             return None;
         }
-        // A daemon that is cut off has its own part only.
-        beliefs.owners.current()?;
+        // A daemon without control can only use its own share.
+        routing.owners.current()?;
         if let Some(fingerprint) = matched.fingerprint {
-            look_at(beliefs, now, fingerprint, attempts).ok()?;
+            suspect_verdict(routing, now, fingerprint, attempts).ok()?;
         }
         let priority = matched.route.route.priority;
-        let daemons = beliefs.allowance.daemons(now);
+        let daemons = routing.allowance.daemons(now);
         let by = AccessBy::Asking { priority };
-        let access = LimitAccess { daemons, by };
-        let pick = self.pick(beliefs, now, matched, attempts, access).ok()?;
-        let backend = beliefs.backends.get(&pick.id)?;
+        let limit_access = LimitAccess { daemons, by };
+        let pick = self
+            .pick(routing, now, matched, attempts, limit_access)
+            .ok()?;
+        let backend = routing.backends.get(&pick.id)?;
         let limit = backend.limit().filter(|limit| !limit.is_divided(daemons))?;
         let request = TokenRequest {
             backend: backend.memory,
@@ -341,7 +353,7 @@
         };
         drop(guard);
         let answer = self.state.tokens().ask(now, request)?;
-        Some(TokenWait {
+        Some(PendingToken {
             instance: pick.id,
             answer,
         })
@@ -349,40 +361,40 @@
 
     fn choose(&self, matched: &Matched, attempts: &Attempts) -> Result<Target, Reason> {
         let now = self.state.now();
-        let mut guard = self.state.beliefs();
-        let beliefs = &mut *guard;
+        let mut guard = self.state.routing();
+        let routing = &mut *guard;
         if let Some(fingerprint) = matched.fingerprint {
-            self.may_go(beliefs, now, fingerprint, attempts)?;
+            self.check_suspect(routing, now, fingerprint, attempts)?;
         }
-        let access = self.access(beliefs, now, attempts);
-        let pick = self.pick(beliefs, now, matched, attempts, access);
+        let limit_access = self.limit_access(routing, now, attempts);
+        let pick = self.pick(routing, now, matched, attempts, limit_access);
         let pick = pick.map_err(|refusal| match refusal {
             Refusal::NoBackend => Reason::NoBackend,
             Refusal::BackingOff { ends_in_ms } => Reason::BackingOff { ends_in_ms },
             Refusal::RateLimited { again_in_ms } => Reason::RateLimited { again_in_ms },
             Refusal::Busy { drained_in_ms } => Reason::Busy { drained_in_ms },
         })?;
-        let Some(backend) = beliefs.backends.get(&pick.id) else {
+        let Some(backend) = routing.backends.get(&pick.id) else {
             return Err(Reason::NoBackend);
         };
         let address = backend.instance.address;
         let zone = backend.instance.zone.clone();
         let incarnation = backend.instance.incarnation();
-        let memory = backend.memory;
+        let incarnation_hash = backend.memory;
         let admitted_until = admitted_until(backend, now, attempts);
-        beliefs.picker.note_sent(now, backend);
-        beliefs.backends.start(&pick.id);
+        routing.picker.note_sent(now, backend);
+        routing.backends.start(&pick.id);
         if admitted_until.is_some() && attempts.token.is_none() {
-            let backends = &mut beliefs.backends;
-            backends.note_sent_without_token(now, &pick.id, access.daemons);
+            let backends = &mut routing.backends;
+            backends.note_sent_without_token(now, &pick.id, limit_access.daemons);
         }
         let mut is_trial = false;
         if let Some(fingerprint) = matched.fingerprint {
-            beliefs.fatal.start(fingerprint);
-            is_trial = beliefs.fatal.use_permit(now, fingerprint);
+            routing.fatal.start(fingerprint);
+            is_trial = routing.fatal.use_permit(now, fingerprint);
         }
         let target = Target {
-            asked: Asked {
+            sent_request: Asked {
                 object: matched.has_object.then_some(matched.key),
                 pick,
             },
@@ -392,36 +404,36 @@
             zone,
             incarnation,
             fingerprint: matched.fingerprint,
-            memory,
-            is_repeat: attempts.arrived > 0,
+            incarnation_hash,
+            is_retry: attempts.arrived > 0,
             is_trial,
             admitted_until,
         };
-        if target.is_repeat {
-            let budget = beliefs.budgets.entry(target.service.clone()).or_default();
-            budget.unsettled().send(target.copy());
+        if target.is_retry {
+            let budget = routing.budgets.entry(target.service.clone()).or_default();
+            budget.unsettled().send(target.sent_copy());
         }
         Ok(target)
     }
 
-    fn is_open(&self, target: &Target) -> bool {
+    fn may_still_send(&self, target: &Target) -> bool {
         let now = self.state.now();
-        let beliefs = self.state.beliefs();
-        let is_held = target.fingerprint.is_some_and(|request| {
-            !target.is_trial && beliefs.fatal.is_held_since(now, request, target.chosen_at)
+        let routing = self.state.routing();
+        let is_withheld = target.fingerprint.is_some_and(|request| {
+            !target.is_trial && routing.fatal.is_held_since(now, request, target.chosen_at)
         });
-        let backend = beliefs.backends.get(target.id());
+        let backend = routing.backends.get(target.id());
         backend.is_some_and(|backend| {
-            !is_held
+            !is_withheld
                 && backend.instance.is_of(&target.incarnation)
                 && backend.is_ready()
                 && !backend.backs_off(now)
                 && is_admitted(backend, now, target)
-                && !beliefs.catalog.is_evacuated(&target.zone)
+                && !routing.catalog.is_evacuated(&target.zone)
         })
     }
 
-    fn told(&self, target: &Target, report: &BackendReport) {
+    fn head_received(&self, target: &Target, report: &BackendReport) {
         if matches!(report.rate, RateWord::Limited(_)) {
             self.note_rate(self.state.now(), target, report, false);
         }
@@ -430,24 +442,24 @@
         }
         let now = self.state.now();
         let id = target.id();
-        let mut beliefs = self.state.beliefs();
-        if !is_current(&beliefs, target) {
+        let mut routing = self.state.routing();
+        if !is_current(&routing, target) {
             return;
         }
-        if let Some(asked_ms) = report.backoff_ms
-            && beliefs.backends.note_backoff(now, id, asked_ms)
+        if let Some(backoff_ms) = report.backoff_ms
+            && routing.backends.note_backoff(now, id, backoff_ms)
         {
             log::info!(target: LOG, instance = id.as_str(), service = target.service.as_str(),
-                backoff_ms = asked_ms; "a back end changed: it asks for a back-off");
+                backoff_ms = backoff_ms; "a back end changed: it asks for a back-off");
         }
-        let memory = beliefs.backends.get(id).map(|backend| backend.memory);
-        if report.drains && beliefs.backends.note_draining(now, id) {
-            beliefs.picker.invalidate(now);
-            drop(beliefs);
+        let incarnation_hash = routing.backends.get(id).map(|backend| backend.memory);
+        if report.drains && routing.backends.note_draining(now, id) {
+            routing.picker.invalidate(now);
+            drop(routing);
             log::info!(target: LOG, instance = id.as_str(), service = target.service.as_str(),
-                phase = "draining"; "a back end changed: it says with an answer that it drains");
-            if let Some(backend) = memory {
-                self.state.share(Finding::Drains { backend });
+                phase = "draining"; "a back end changed: it reports in an answer that it is draining");
+            if let Some(backend) = incarnation_hash {
+                self.state.publish_finding(Finding::Drains { backend });
             }
         }
     }
@@ -457,43 +469,45 @@
         self.note_rate(now, target, report, true);
         let id = target.id();
         let took_ms = now.saturating_sub(target.chosen_at) as f64;
-        let mut guard = self.state.beliefs();
-        let beliefs = &mut *guard;
-        self.settle_until(beliefs, now, target);
-        if !is_current(beliefs, target) {
+        let mut guard = self.state.routing();
+        let routing = &mut *guard;
+        self.resolve_up_to(routing, now, target);
+        if !is_current(routing, target) {
             return;
         }
-        beliefs.backends.note_answer(now, id, report.load);
-        let Some(backend) = beliefs.backends.get(id) else {
+        routing.backends.note_answer(now, id, report.load);
+        let Some(backend) = routing.backends.get(id) else {
             return;
         };
-        let picker = &mut beliefs.picker;
-        picker.note_answer(now, backend, &target.asked, took_ms);
-        let cleared = target
-            .fingerprint
-            .filter(|one| beliefs.fatal.note_answer(now, *one, target.chosen_at));
+        let picker = &mut routing.picker;
+        picker.note_answer(now, backend, &target.sent_request, took_ms);
+        let cleared = target.fingerprint.filter(|fingerprint| {
+            routing
+                .fatal
+                .note_answer(now, *fingerprint, target.chosen_at)
+        });
         drop(guard);
         if let Some(fingerprint) = cleared {
-            self.state.share(Finding::Answered(fingerprint));
+            self.state.publish_finding(Finding::Answered(fingerprint));
         }
     }
 
-    fn ended(&self, target: &Target, witnesses: Vec<Fingerprint>) {
+    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>) {
         let now = self.state.now();
-        let mut beliefs = self.state.beliefs();
-        let Some(backend) = beliefs.backends.get(target.id()) else {
+        let mut routing = self.state.routing();
+        let Some(backend) = routing.backends.get(target.id()) else {
             return;
         };
         if !backend.instance.is_of(&target.incarnation) {
             return;
         }
-        let memory = backend.memory;
-        beliefs.backends.note_unreachable(now, target.id());
-        drop(beliefs);
+        let incarnation_hash = backend.memory;
+        routing.backends.note_unreachable(now, target.id());
+        drop(routing);
         log::info!(target: LOG, instance = target.id().as_str(), service = target.service.as_str(),
             witnesses = witnesses.len(); "a back end changed: it has ended");
-        self.state.share(Finding::Ended {
-            backend: memory,
+        self.state.publish_finding(Finding::Ended {
+            backend: incarnation_hash,
             witnesses,
         });
     }
@@ -501,32 +515,32 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport) {
         let now = self.state.now();
         let id = target.id();
-        let mut beliefs = self.state.beliefs();
+        let mut routing = self.state.routing();
         if failure == AttemptFailure::Silent {
-            // It is sent again, and this copy may arrive as well.
-            let budget = beliefs.budgets.entry(target.service.clone()).or_default();
-            budget.unsettled().give_up(target.copy());
+            // The request is sent again, and this copy may still arrive as well.
+            let budget = routing.budgets.entry(target.service.clone()).or_default();
+            budget.unsettled().give_up(target.sent_copy());
         }
         if let Some(request) = target.fingerprint
             && target.is_trial
             && failure.did_not_run()
         {
-            beliefs.fatal.permit(now, request);
+            routing.fatal.permit(now, request);
         }
-        if !is_current(&beliefs, target) {
+        if !is_current(&routing, target) {
             return;
         }
         match failure {
-            AttemptFailure::Unreachable => beliefs.backends.note_unreachable(now, id),
-            AttemptFailure::Misdirected => beliefs.backends.note_misdirected(now, id),
+            AttemptFailure::Unreachable => routing.backends.note_unreachable(now, id),
+            AttemptFailure::Misdirected => routing.backends.note_misdirected(now, id),
             AttemptFailure::Shed => {
-                beliefs.backends.note_shed(now, id, report);
-                self.settle_until(&mut beliefs, now, target);
+                routing.backends.note_shed(now, id, report);
+                self.resolve_up_to(&mut routing, now, target);
             }
             AttemptFailure::Lost | AttemptFailure::TimedOut => {
-                beliefs.backends.note_failure(now, id);
+                routing.backends.note_failure(now, id);
             }
-            // A silent connection says nothing of its back end.
+            // A silent connection says nothing about its back end.
             AttemptFailure::Failed | AttemptFailure::Silent | AttemptFailure::Withdrawn => {}
         }
     }
@@ -534,19 +548,21 @@
     fn finished(&self, target: &Target, ending: AttemptEnding) {
         let now = self.state.now();
         let limits = self.state.bounds().retries;
-        let mut beliefs = self.state.beliefs();
-        if target.is_repeat {
-            let budget = beliefs.budgets.entry(target.service.clone()).or_default();
+        let mut routing = self.state.routing();
+        if target.is_retry {
+            let budget = routing.budgets.entry(target.service.clone()).or_default();
             match ending {
-                AttemptEnding::Settled => budget.unsettled().settle(now, limits, target.copy()),
-                AttemptEnding::InDoubt => budget.unsettled().give_up(target.copy()),
+                AttemptEnding::Resolved => {
+                    budget.unsettled().settle(now, limits, target.sent_copy())
+                }
+                AttemptEnding::Unresolved => budget.unsettled().give_up(target.sent_copy()),
             }
         }
         if let Some(fingerprint) = target.fingerprint {
-            beliefs.fatal.finish(fingerprint);
+            routing.fatal.finish(fingerprint);
         }
-        if is_current(&beliefs, target) {
-            beliefs.backends.finish(target.id());
+        if is_current(&routing, target) {
+            routing.backends.finish(target.id());
         }
     }
 
@@ -555,18 +571,18 @@
         matched: &Matched,
         attempts: &Attempts,
         failure: AttemptFailure,
-        left: Duration,
+        time_left: Duration,
     ) -> RetryVerdict {
         let route = &matched.route.route;
-        if left < LEAST_TIME_TO_RETRY {
+        if time_left < MIN_TIME_TO_RETRY {
             return RetryVerdict::Denied(RetryDenial::NoTime);
         }
         if failure.may_have_run() && !route.kind.is_repeatable() {
             return RetryVerdict::Denied(RetryDenial::MayHaveRun);
         }
         if !failure.reached_back_end() {
-            // Nothing arrived anywhere, so this costs nothing of the budget.
-            return if attempts.unreachable < MAX_UNREACHABLE {
+            // No back end received the request, so the retry costs nothing of the budget.
+            return if attempts.unreachable < MAX_UNREACHABLE_ATTEMPTS {
                 RetryVerdict::Free
             } else {
                 RetryVerdict::Denied(RetryDenial::Unreachable)
@@ -575,6 +591,6 @@
         if attempts.arrived >= route.max_attempts.max(1) {
             return RetryVerdict::Denied(RetryDenial::AttemptsSpent);
         }
-        self.take_retry(&mut self.state.beliefs(), matched)
+        self.take_retry(&mut self.state.routing(), matched)
     }
 }
--- a/crates/coursestand-proxy/src/server.rs
+++ b/crates/coursestand-proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, and stops without cutting off a request.
+//! Accepts connections of callers, and stops without aborting a request.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,19 +16,21 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::answer::close_after;
-use crate::callers::{Callers, Seat, most_by_limit};
-use crate::connect::prepare;
+use crate::caller_connections::{
+    CallerConnections, ConnectionGuard, max_connections_by_descriptors,
+};
+use crate::connect::configure;
 use crate::exchange::Exchange;
 
-/// Bytes that are read at most before headers are whole. What the catalog allows
-/// less than this is checked once they are read.
+/// Maximum number of bytes that are read before the headers are complete. A lower limit of the
+/// catalog is checked once the headers have been read.
 const MAX_HEADER_BYTES: usize = 256 * 1024;
-/// A caller that confirms no bytes for this long is gone.
-const SILENCE: Duration = Duration::from_secs(10);
-/// Pause after the system refused a connection, as for want of descriptors.
+/// A caller that acknowledges no bytes for this long counts as disconnected.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after the system failed to accept a connection, for example for lack of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Why callers can't be listened for.
+/// The listening socket could not be opened.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {source}"))]
 pub struct ListenError {
@@ -36,14 +38,14 @@
     source: std::io::Error,
 }
 
-/// How the server treats callers.
+/// How the server treats connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// Keeps connections.
+    /// Keeps connections open.
     Serving,
-    /// Serves on, and asks callers to leave with each answer.
+    /// Continues to serve, and asks callers to close the connection with each answer.
     Draining,
-    /// Ends each connection once it has no request.
+    /// Closes each connection once it has no request in flight.
     Closing,
 }
 
@@ -51,112 +53,116 @@
 pub struct ProxyServer {
     address: SocketAddr,
     mode: watch::Sender<Mode>,
-    callers: Arc<Callers>,
+    caller_connections: Arc<CallerConnections>,
     tasks: Arc<Tasks>,
-    /// Closed once no connection is left.
-    ended: tokio::sync::Mutex<mpsc::Receiver<()>>,
+    /// Closed once no connection is open.
+    connections_closed: tokio::sync::Mutex<mpsc::Receiver<()>>,
 }
 
 impl ProxyServer {
-    /// Listens on `address` and answers with `exchange`. Callers may hold half of the
-    /// descriptors of the process.
+    /// Listens on `address` and answers with `exchange`. Caller connections may take half of
+    /// the descriptors of the process.
     pub async fn start(
         address: SocketAddr,
         exchange: Arc<Exchange>,
     ) -> Result<ProxyServer, ListenError> {
-        ProxyServer::start_bounded(address, exchange, most_by_limit()).await
+        ProxyServer::start_bounded(address, exchange, max_connections_by_descriptors()).await
     }
 
-    /// Listens on `address` and answers with `exchange`; callers may hold
-    /// `most_connections`.
+    /// Listens on `address` and answers with `exchange`, with at most `max_connections` caller
+    /// connections.
     pub async fn start_bounded(
         address: SocketAddr,
         exchange: Arc<Exchange>,
-        most_connections: usize,
+        max_connections: usize,
     ) -> Result<ProxyServer, ListenError> {
         let listener = TcpListener::bind(address)
             .await
             .context(ListenSnafu { address })?;
         let address = listener.local_addr().context(ListenSnafu { address })?;
         let (mode, watching) = watch::channel(Mode::Serving);
-        let (alive, ended) = mpsc::channel(1);
+        let (connection_alive, connections_closed) = mpsc::channel(1);
         let tasks = Arc::new(Tasks::default());
-        let callers = Arc::new(Callers::new(most_connections));
-        let entrance = Entrance {
+        let caller_connections = Arc::new(CallerConnections::new(max_connections));
+        let acceptor = Acceptor {
             listener,
             exchange,
-            callers: Arc::clone(&callers),
-            alive,
+            caller_connections: Arc::clone(&caller_connections),
+            connection_alive,
             tasks: Arc::clone(&tasks),
         };
-        tasks.start(entrance.accept(watching));
+        tasks.start(acceptor.accept(watching));
         Ok(ProxyServer {
             address,
             mode,
-            callers,
+            caller_connections,
             tasks,
-            ended: tokio::sync::Mutex::new(ended),
+            connections_closed: tokio::sync::Mutex::new(connections_closed),
         })
     }
 
-    /// The address on which it listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether new connections are taken. While they are not, for want of descriptors
-    /// or of places, the daemon isn't ready.
-    pub fn takes_callers(&self) -> bool {
-        self.callers.are_taken()
+    /// Returns whether new connections are accepted. While they are not, for lack of
+    /// descriptors or because the connection limit is reached, the daemon isn't ready.
+    pub fn is_accepting(&self) -> bool {
+        self.caller_connections.is_accepting()
     }
 
-    /// Serves on, and asks callers to leave.
+    /// Continues to serve, and asks callers to close their connections.
     pub fn announce_stop(&self) {
         self.mode.send_replace(Mode::Draining);
     }
 
-    /// Ends all connections at once.
+    /// Closes all connections at once.
     pub fn abort(&self) {
         self.tasks.abort();
     }
 
-    /// Takes no new connections, ends idle ones, and waits for requests in
-    /// flight.
+    /// Stops accepting connections, closes idle ones, and waits for requests in flight.
     pub async fn close(&self) {
         self.mode.send_replace(Mode::Closing);
-        let mut ended = self.ended.lock().await;
-        // Nothing is ever sent: this returns once all connections have ended.
-        let _ = ended.recv().await;
+        let mut connections_closed = self.connections_closed.lock().await;
+        // Nothing is ever sent: `recv` returns once all connections are closed.
+        let _ = connections_closed.recv().await;
     }
 }
 
-/// Where callers come in.
-struct Entrance {
+/// Accepts connections.
+struct Acceptor {
     listener: TcpListener,
     exchange: Arc<Exchange>,
-    callers: Arc<Callers>,
-    alive: mpsc::Sender<()>,
+    caller_connections: Arc<CallerConnections>,
+    connection_alive: mpsc::Sender<()>,
     tasks: Arc<Tasks>,
 }
 
-impl Entrance {
+impl Acceptor {
     async fn accept(self, mut mode: watch::Receiver<Mode>) {
         loop {
             let accepted = tokio::select! {
-                accepted = self.accept_one() => accepted,
+                accepted = self.accept_connection() => accepted,
                 _ = mode.wait_for(|mode| *mode == Mode::Closing) => return,
             };
             match accepted {
                 Ok(stream) => {
                     let exchange = Arc::clone(&self.exchange);
-                    let seat = self.callers.take();
-                    let connection =
-                        serve(stream, seat, exchange, mode.clone(), self.alive.clone());
+                    let guard = self.caller_connections.register();
+                    let connection = serve(
+                        stream,
+                        guard,
+                        exchange,
+                        mode.clone(),
+                        self.connection_alive.clone(),
+                    );
                     self.tasks.start(connection);
                 }
                 Err(error) => {
-                    log::warn!(target: "proxy", "no connection was accepted: {error}");
-                    self.callers.refused();
+                    log::warn!(target: "proxy", "accepting a connection failed: {error}");
+                    self.caller_connections.note_accept_failure();
                     self.exchange.close_idle();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -164,8 +170,8 @@
         }
     }
 
-    async fn accept_one(&self) -> std::io::Result<TcpStream> {
-        self.callers.have_place().await;
+    async fn accept_connection(&self) -> std::io::Result<TcpStream> {
+        self.caller_connections.wait_for_capacity().await;
         let (stream, _) = self.listener.accept().await?;
         Ok(stream)
     }
@@ -173,25 +179,26 @@
 
 async fn serve(
     stream: TcpStream,
-    seat: Seat,
+    guard: ConnectionGuard,
     exchange: Arc<Exchange>,
     mut mode: watch::Receiver<Mode>,
-    _alive: mpsc::Sender<()>,
+    _connection_alive: mpsc::Sender<()>,
 ) {
-    if prepare(&stream, SILENCE).is_err() {
+    if configure(&stream, ACKNOWLEDGEMENT_TIMEOUT).is_err() {
         return;
     }
-    let answering = mode.clone();
-    let rest = Arc::clone(&seat.rest);
-    let serving = (Arc::clone(&exchange), Arc::clone(&rest));
+    let response_mode = mode.clone();
+    let idle_timer = Arc::clone(&guard.idle_timer);
+    let service_state = (Arc::clone(&exchange), Arc::clone(&idle_timer));
     let service = service_fn(move |request: Request<Incoming>| {
-        let (exchange, rest) = serving.clone();
-        let mode = answering.clone();
+        let (exchange, idle_timer) = service_state.clone();
+        let mode = response_mode.clone();
         async move {
-            let _busy = rest.interrupt();
-            // The connection is read once more before anything is sent on: a caller
-            // that gave up while the daemon stood still left its end behind its
-            // request, and then no back end works for it. Costs a turn of the task.
+            let _busy = idle_timer.pause();
+            // Yields so that the connection is read once more before anything is forwarded: if
+            // the caller closed the connection while the daemon was suspended, the close
+            // follows the request in the socket buffer, and no back end then works on a
+            // request that nobody waits for. Costs one scheduling turn of the task.
             tokio::task::yield_now().await;
             let mut response = exchange.serve(request).await;
             if *mode.borrow() != Mode::Serving {
@@ -201,16 +208,16 @@
         }
     });
     let connection = http1::Builder::new()
-        // The time that headers take counts as rest, see `Rest`.
+        // The time in which headers are received counts as idle time, see `IdleTimer`.
         .header_read_timeout(None)
         .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // A caller that broke off is nobody's fault here.
+        // A caller that closes its connection is no error of this daemon.
         _ = connection.as_mut() => return,
         _ = mode.wait_for(|mode| *mode == Mode::Closing) => {}
-        () = rest.exceeds(&exchange) => {}
+        () = idle_timer.expired(&exchange) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
--- a/crates/coursestand-proxy/src/streamed_body.rs
+++ b/crates/coursestand-proxy/src/streamed_body.rs
@@ -1,4 +1,4 @@
-//! A back end's answer that is too long to be held, on its way through.
+//! Streams a back end's answer that is too long to be buffered.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,17 +8,17 @@
 
 use crate::pool::Connection;
 
-/// A long answer on its way through. An end that is not whole breaks the caller's
-/// connection off, so that it never looks complete.
+/// Body of a long answer. An incomplete answer aborts the caller's connection, so that it
+/// never looks complete.
 pub struct StreamedBody {
     first: Option<Bytes>,
     rest: Incoming,
-    /// Closed with the body: its state after a long answer is not looked into.
+    /// Closed together with the body: its state after a long answer is not checked.
     _connection: Connection,
 }
 
 impl StreamedBody {
-    /// The body of which `first` has come on `connection`.
+    /// Creates a body of which `first` has been read on `connection`.
     pub(crate) fn new(first: Bytes, rest: Incoming, connection: Connection) -> StreamedBody {
         StreamedBody {
             first: Some(first),
@@ -45,10 +45,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.first.as_ref().map_or(0, Bytes::len) as u64;
+        let first_length = self.first.as_ref().map_or(0, Bytes::len) as u64;
         let mut hint = self.rest.size_hint();
         if let Some(exact) = hint.exact() {
-            hint.set_exact(exact + held);
+            hint.set_exact(exact + first_length);
         }
         hint
     }
--- a/crates/coursestand-proxy/src/passing_body.rs
+++ b/crates/coursestand-proxy/src/streamed_request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body that is too long to be held, on its way through.
+//! Streams a request body that is too long to be buffered.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,53 +7,53 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use snafu::Snafu;
 
-/// Why a body was broken off on its way.
+/// Error that aborts a request body.
 #[derive(Debug, Snafu)]
-pub enum PassingError {
-    /// The caller broke off.
-    #[snafu(display("the caller broke off: {source}"))]
+pub enum RequestBodyError {
+    /// The caller closed the connection.
+    #[snafu(display("the caller closed the connection: {source}"))]
     Caller {
         /// Cause.
         source: hyper::Error,
     },
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[snafu(display("the body is longer than allowed"))]
     TooLong,
 }
 
-/// What has been read of a body, and its rest.
-pub struct PassingBody {
+/// The part of a body that has been read, followed by the remaining stream.
+pub struct StreamedRequestBody {
     first: Option<Bytes>,
     rest: Incoming,
-    /// Bytes that may still come.
-    allowance: u64,
+    /// Bytes that may still be received.
+    bytes_left: u64,
 }
 
-impl PassingBody {
-    /// A body of `longest` bytes at most, of which `first` was read.
-    pub fn new(first: Bytes, rest: Incoming, longest: u64) -> PassingBody {
-        PassingBody {
+impl StreamedRequestBody {
+    /// Creates a body of at most `max_bytes` bytes, of which `first` has been read.
+    pub fn new(first: Bytes, rest: Incoming, max_bytes: u64) -> StreamedRequestBody {
+        StreamedRequestBody {
             first: (!first.is_empty()).then_some(first),
             rest,
-            allowance: longest,
+            bytes_left: max_bytes,
         }
     }
 
-    fn count(&mut self, data: &Bytes) -> Result<(), PassingError> {
-        let left = self.allowance.checked_sub(data.len() as u64);
-        self.allowance = left.ok_or(PassingError::TooLong)?;
+    fn count(&mut self, data: &Bytes) -> Result<(), RequestBodyError> {
+        let left = self.bytes_left.checked_sub(data.len() as u64);
+        self.bytes_left = left.ok_or(RequestBodyError::TooLong)?;
         Ok(())
     }
 }
 
-impl Body for PassingBody {
+impl Body for StreamedRequestBody {
     type Data = Bytes;
-    type Error = PassingError;
+    type Error = RequestBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, PassingError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, RequestBodyError>>> {
         if let Some(first) = self.first.take() {
             let counted = self.count(&first);
             return Poll::Ready(Some(counted.map(|()| Frame::data(first))));
@@ -67,7 +67,7 @@
                 Poll::Ready(Some(counted.map(|()| frame)))
             }
             Poll::Ready(Some(Err(source))) => {
-                Poll::Ready(Some(Err(PassingError::Caller { source })))
+                Poll::Ready(Some(Err(RequestBodyError::Caller { source })))
             }
             Poll::Ready(None) => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
@@ -79,10 +79,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.first.as_ref().map_or(0, Bytes::len) as u64;
+        let first_length = self.first.as_ref().map_or(0, Bytes::len) as u64;
         let mut hint = self.rest.size_hint();
         if let Some(exact) = hint.exact() {
-            hint.set_exact(exact + held);
+            hint.set_exact(exact + first_length);
         }
         hint
     }
