--- a/crates/coursestand-proxy/src/tokens.rs
+++ b/crates/coursestand-proxy/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Asks control for tokens for requests to rate-limited back ends.
+//! Requests tokens for rate-limited back ends from control.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,42 +11,42 @@
 use coursestand_routing::{LimitNews, Rate, SendToken};
 use tokio::sync::{broadcast, oneshot};
 
-/// Notes that wait for a slow connection to control; further ones replace the oldest.
-const QUEUE: usize = 64;
-/// What this daemon tells control of rate limits.
+/// Messages queued for a slow connection to control; further ones replace the oldest.
+const MESSAGE_QUEUE_LENGTH: usize = 64;
+/// A message to control about rate limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LimitNote {
-    /// A back end named a limit, or no longer does.
-    News(LimitNews),
-    /// It wants a token.
+pub enum RateLimitMessage {
+    /// A back end announced a limit or lifted it.
+    Update(LimitNews),
+    /// Requests a token.
     Token {
-        /// The control process that answers, if one has lately; otherwise all are asked.
+        /// The control process that answered last; without one, the request goes to all.
         to: Option<SocketAddr>,
-        /// Number of the request.
+        /// Number of the token request.
         number: u64,
-        /// The request.
+        /// The token request.
         request: TokenRequest,
     },
 }
 
-/// Answer to a request for a token.
+/// Answer to a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenAnswer {
-    /// The request may be sent.
+    /// The request may be sent to the back end.
     Issued(SendToken),
-    /// There is no token now.
+    /// No token is available at the moment.
     Denied {
-        /// When to ask again, in milliseconds.
+        /// When to request a token again, in milliseconds.
         again_in_ms: Millis,
-        /// The limit by which they are issued.
+        /// The rate at which tokens are issued.
         rate: Rate,
     },
-    /// The back end has no limit any more.
+    /// The back end has lifted its limit.
     Lifted,
 }
 
 impl TokenAnswer {
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             TokenAnswer::Issued(_) => "issued",
@@ -56,112 +56,112 @@
     }
 }
 
-/// A request that control has answered.
-pub(crate) struct Answered {
-    pub(crate) asked: AskedToken,
-    waits: Option<oneshot::Sender<TokenAnswer>>,
+/// A token request that control has answered.
+pub(crate) struct AnsweredRequest {
+    pub(crate) request: AskedToken,
+    reply: Option<oneshot::Sender<TokenAnswer>>,
 }
 
-impl Answered {
-    /// Passes the answer on.
-    pub(crate) fn tell(self, answer: TokenAnswer) {
-        if let Some(waits) = self.waits {
-            // Whoever asked may have left.
-            let _ = waits.send(answer);
+impl AnsweredRequest {
+    /// Delivers the answer to the request that waits for it.
+    pub(crate) fn deliver(self, answer: TokenAnswer) {
+        if let Some(reply) = self.reply {
+            // The waiting request may have been cancelled.
+            let _ = reply.send(answer);
         }
     }
 }
 
 #[derive(Default)]
-struct Desk {
-    asks: TokenAsks,
-    waits: HashMap<u64, oneshot::Sender<TokenAnswer>>,
+struct PendingRequests {
+    outstanding: TokenAsks,
+    waiters: HashMap<u64, oneshot::Sender<TokenAnswer>>,
     /// The control process that answered last.
     issuer: Option<SocketAddr>,
 }
 
-/// Requests for tokens that this daemon has made.
+/// Token requests of this daemon.
 pub struct TokenRequests {
-    notes: broadcast::Sender<LimitNote>,
-    desk: Mutex<Desk>,
+    messages: broadcast::Sender<RateLimitMessage>,
+    pending: Mutex<PendingRequests>,
 }
 
 impl Default for TokenRequests {
     fn default() -> TokenRequests {
         TokenRequests {
-            notes: broadcast::Sender::new(QUEUE),
-            desk: Mutex::default(),
+            messages: broadcast::Sender::new(MESSAGE_QUEUE_LENGTH),
+            pending: Mutex::default(),
         }
     }
 }
 
 impl TokenRequests {
-    fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, PendingRequests> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether control leaves requests unanswered.
+    /// Returns whether control leaves token requests unanswered.
     pub fn is_silent(&self, now: Millis) -> bool {
-        self.desk().asks.is_silent(now)
+        self.pending().outstanding.is_silent(now)
     }
 
-    /// Asks control; what is returned resolves with its answer. While control is silent it is
-    /// asked now and then, and nobody waits.
+    /// Requests a token from control. The returned receiver resolves with the answer. While
+    /// control does not answer, only occasional probes are sent, and no request waits.
     pub fn ask(
         &self,
         now: Millis,
         request: TokenRequest,
     ) -> Option<oneshot::Receiver<TokenAnswer>> {
-        let mut desk = self.desk();
-        let asking = desk.asks.ask(now, request.clone());
-        desk.waits.retain(|_, waits| !waits.is_closed());
-        let (number, answer) = match asking {
+        let mut pending = self.pending();
+        let decision = pending.outstanding.ask(now, request.clone());
+        pending.waiters.retain(|_, reply| !reply.is_closed());
+        let (number, answer) = match decision {
             Asking::Wait(number) => {
-                let (waits, answer) = oneshot::channel();
-                desk.waits.insert(number, waits);
+                let (reply, answer) = oneshot::channel();
+                pending.waiters.insert(number, reply);
                 (number, Some(answer))
             }
             Asking::Probe(number) => {
-                // Another process may lead.
-                desk.issuer = None;
+                // Another control process may lead.
+                pending.issuer = None;
                 (number, None)
             }
             Asking::No => return None,
         };
-        let to = desk.issuer;
-        drop(desk);
-        let note = LimitNote::Token {
+        let to = pending.issuer;
+        drop(pending);
+        let message = RateLimitMessage::Token {
             to,
             number,
             request,
         };
-        // Without a connection to control there is nobody to ask.
-        self.notes.send(note).ok()?;
+        // The send fails when there is no connection to control.
+        self.messages.send(message).ok()?;
         answer
     }
 
-    /// The control process `from` answered.
-    pub(crate) fn answered(&self, from: SocketAddr, number: u64) -> Option<Answered> {
-        let mut desk = self.desk();
-        desk.issuer = Some(from);
-        let asked = desk.asks.answered(number)?;
-        let waits = desk.waits.remove(&number);
-        Some(Answered { asked, waits })
+    /// Removes the token request that the control process `from` answered, and returns it.
+    pub(crate) fn answered(&self, from: SocketAddr, number: u64) -> Option<AnsweredRequest> {
+        let mut pending = self.pending();
+        pending.issuer = Some(from);
+        let request = pending.outstanding.answered(number)?;
+        let reply = pending.waiters.remove(&number);
+        Some(AnsweredRequest { request, reply })
     }
 
-    /// Tells control what a back end named.
-    pub fn tell(&self, news: LimitNews) {
-        // Without a connection to control there is nobody to tell.
-        let _ = self.notes.send(LimitNote::News(news));
+    /// Reports to control the rate limit that a back end announced.
+    pub fn report(&self, update: LimitNews) {
+        // The send fails when there is no connection to control; the report is then dropped.
+        let _ = self.messages.send(RateLimitMessage::Update(update));
     }
 
-    /// What control is told, from now on.
-    pub fn notes(&self) -> broadcast::Receiver<LimitNote> {
-        self.notes.subscribe()
+    /// Subscribes to messages for control.
+    pub fn messages(&self) -> broadcast::Receiver<RateLimitMessage> {
+        self.messages.subscribe()
     }
 }
 
-/// What a verdict on `asked` means for whoever waits.
+/// Converts a verdict on `asked` to the answer for the waiting request.
 pub(crate) fn answer_of(verdict: &TokenVerdict, asked: &AskedToken) -> TokenAnswer {
     match verdict {
         TokenVerdict::Issued => TokenAnswer::Issued(SendToken {
--- a/crates/coursestand-proxy/src/trials.rs
+++ b/crates/coursestand-proxy/src/trials.rs
@@ -1,4 +1,4 @@
-//! Waits for control to grant trials of requests under which back ends ended.
+//! Asks control for trials of requests that are suspected to crash back ends.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,77 +7,87 @@
 use coursestand_routing::{Fingerprint, SharedCase};
 use tokio::sync::{broadcast, oneshot};
 
-/// Cases that wait for a slow connection to control; further ones replace the oldest.
-const QUEUE: usize = 64;
-/// An answer that has not come by then does not come: control may have no leader.
-const ASKED_MS: Millis = 1_000;
+/// Messages queued for a slow connection to control; further ones replace the oldest.
+const MESSAGE_QUEUE_LENGTH: usize = 64;
+/// Time after which a trial request counts as unanswered: control may have no leader.
+const TRIAL_TIMEOUT_MS: Millis = 1_000;
 
-/// What this daemon tells control of a request under which back ends ended.
+/// A message to control about a request that is suspected to crash back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CaseNote {
-    /// It wants to try the request.
+pub enum CrashRecordMessage {
+    /// Asks for a trial of the request.
     Trial(SharedCase),
-    /// What it knows.
-    Known(SharedCase),
+    /// Reports this daemon's crash record.
+    Report(SharedCase),
 }
 
-struct Asked {
-    at: Millis,
-    waits: oneshot::Sender<()>,
+struct PendingTrial {
+    requested_at: Millis,
+    reply: oneshot::Sender<()>,
 }
 
-/// Trials that this daemon has asked for.
+/// Trials that this daemon has asked control for.
 pub struct TrialRequests {
-    notes: broadcast::Sender<CaseNote>,
-    asked: Mutex<HashMap<Fingerprint, Asked>>,
+    messages: broadcast::Sender<CrashRecordMessage>,
+    pending: Mutex<HashMap<Fingerprint, PendingTrial>>,
 }
 
 impl Default for TrialRequests {
     fn default() -> TrialRequests {
         TrialRequests {
-            notes: broadcast::Sender::new(QUEUE),
-            asked: Mutex::default(),
+            messages: broadcast::Sender::new(MESSAGE_QUEUE_LENGTH),
+            pending: Mutex::default(),
         }
     }
 }
 
 impl TrialRequests {
-    fn asked(&self) -> MutexGuard<'_, HashMap<Fingerprint, Asked>> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, HashMap<Fingerprint, PendingTrial>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks control for a trial; what is returned ends with its answer. One request waits
-    /// for it at a time.
-    pub fn ask(&self, now: Millis, case: SharedCase) -> Option<oneshot::Receiver<()>> {
-        let mut asked = self.asked();
-        asked.retain(|_, one| now.saturating_sub(one.at) < ASKED_MS && !one.waits.is_closed());
-        if asked.contains_key(&case.request) {
+    /// Asks control for a trial. The returned receiver resolves with the answer. Only one
+    /// request per fingerprint waits for it at a time.
+    pub fn ask(&self, now: Millis, crash_record: SharedCase) -> Option<oneshot::Receiver<()>> {
+        let mut pending = self.pending();
+        pending.retain(|_, trial| {
+            now.saturating_sub(trial.requested_at) < TRIAL_TIMEOUT_MS && !trial.reply.is_closed()
+        });
+        if pending.contains_key(&crash_record.request) {
             return None;
         }
-        let (waits, answer) = oneshot::channel();
-        asked.insert(case.request, Asked { at: now, waits });
-        drop(asked);
-        // Without a connection to control there is nobody to ask.
-        self.notes.send(CaseNote::Trial(case)).ok()?;
+        let (reply, answer) = oneshot::channel();
+        pending.insert(
+            crash_record.request,
+            PendingTrial {
+                requested_at: now,
+                reply,
+            },
+        );
+        drop(pending);
+        // The send fails when there is no connection to control.
+        self.messages
+            .send(CrashRecordMessage::Trial(crash_record))
+            .ok()?;
         Some(answer)
     }
 
-    /// Control answered.
+    /// Wakes the request that waits for the answer of control.
     pub fn answered(&self, request: Fingerprint) {
-        if let Some(asked) = self.asked().remove(&request) {
-            // Whoever asked may have left.
-            let _ = asked.waits.send(());
+        if let Some(trial) = self.pending().remove(&request) {
+            // The waiting request may have been cancelled.
+            let _ = trial.reply.send(());
         }
     }
 
-    /// Tells control a case.
-    pub fn tell(&self, case: SharedCase) {
-        // Without a connection to control there is nobody to tell.
-        let _ = self.notes.send(CaseNote::Known(case));
+    /// Reports a crash record to control.
+    pub fn report(&self, crash_record: SharedCase) {
+        // The send fails when there is no connection to control; the report is then dropped.
+        let _ = self.messages.send(CrashRecordMessage::Report(crash_record));
     }
 
-    /// What control is told, from now on.
-    pub fn notes(&self) -> broadcast::Receiver<CaseNote> {
-        self.notes.subscribe()
+    /// Subscribes to messages for control.
+    pub fn messages(&self) -> broadcast::Receiver<CrashRecordMessage> {
+        self.messages.subscribe()
     }
 }
--- a/crates/coursestand-proxy/src/unread_headers.rs
+++ b/crates/coursestand-proxy/src/unread_headers.rs
@@ -1,6 +1,6 @@
-//! Counts headers by which back ends speak to this system and that nothing reads.
+//! Counts headers with a reserved prefix that this version does not read.
 //!
-//! A header that is passed over leaves no other trace.
+//! An ignored header leaves no other trace.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,44 +12,47 @@
 use crate::header_names::HeaderNames;
 
 const LOG: &str = "proxy";
-/// Names that are counted each by itself; back ends may send any number of them.
-const MOST_NAMES: usize = 16;
-/// Longest value that is kept, in characters.
-const MOST_CHARACTERS: usize = 64;
-/// Label of all names beyond those.
+/// Header names that are counted individually; back ends may send any number of names.
+const MAX_NAMES: usize = 16;
+/// Length to which a stored value is truncated, in characters.
+const MAX_VALUE_CHARACTERS: usize = 64;
+/// Label for all further names.
 pub const OTHER: &str = "other";
 
-/// One such header.
+/// A header that this version does not read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnreadHeader {
-    /// Answers that had it.
+    /// Number of answers with the header.
     pub answers: u64,
-    /// The first value that came.
+    /// The first value received.
     pub first_value: String,
-    /// The back end that sent it.
+    /// The back end that sent the first value.
     pub first_from: String,
 }
 
-/// The headers of answers that nothing reads.
+/// The unread headers of answers.
 pub struct UnreadHeaders {
-    seen: Mutex<HashMap<HeaderName, UnreadHeader>>,
+    headers_by_name: Mutex<HashMap<HeaderName, UnreadHeader>>,
     counter: IntCounterVec,
 }
 
 impl UnreadHeaders {
-    /// None so far; they are counted in `counter` by name.
+    /// Creates an empty record that counts headers in `counter` by name.
     pub fn new(counter: IntCounterVec) -> UnreadHeaders {
         UnreadHeaders {
-            seen: Mutex::default(),
+            headers_by_name: Mutex::default(),
             counter,
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, HashMap<HeaderName, UnreadHeader>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn headers_by_name(&self) -> MutexGuard<'_, HashMap<HeaderName, UnreadHeader>> {
+        self.headers_by_name
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts those of an answer of the back end `from`. The first of each name is logged.
+    /// Counts the unread headers of an answer of the back end `from`. The first of each name
+    /// is logged.
     pub fn note(&self, names: &HeaderNames, from: &str, headers: &HeaderMap) {
         for name in headers.keys().filter(|name| names.is_unread(name)) {
             let label = match self.count(name, from, headers) {
@@ -60,35 +63,35 @@
         }
     }
 
-    /// Returns whether the name is counted by itself.
+    /// Counts the header. Returns whether the name is counted individually.
     fn count(&self, name: &HeaderName, from: &str, headers: &HeaderMap) -> bool {
-        let mut seen = self.seen();
-        if let Some(known) = seen.get_mut(name) {
+        let mut headers_by_name = self.headers_by_name();
+        if let Some(known) = headers_by_name.get_mut(name) {
             known.answers += 1;
             return true;
         }
-        if seen.len() >= MOST_NAMES {
+        if headers_by_name.len() >= MAX_NAMES {
             return false;
         }
         let value = headers.get(name).map(|value| value.as_bytes());
         let value = String::from_utf8_lossy(value.unwrap_or_default());
         let first = UnreadHeader {
             answers: 1,
-            first_value: value.chars().take(MOST_CHARACTERS).collect(),
+            first_value: value.chars().take(MAX_VALUE_CHARACTERS).collect(),
             first_from: from.to_owned(),
         };
         log::warn!(target: LOG, header = name.as_str(), value = first.first_value, instance = from;
             "a back end sends a header that this version does not read");
-        seen.insert(name.clone(), first);
+        headers_by_name.insert(name.clone(), first);
         true
     }
 
-    /// What came so far by name, for the dump.
+    /// Returns the unread headers by name, for the state dump.
     pub fn views(&self) -> BTreeMap<String, UnreadHeader> {
-        let seen = self.seen();
-        let views = seen
+        let headers_by_name = self.headers_by_name();
+        let views = headers_by_name
             .iter()
-            .map(|(name, one)| (name.to_string(), one.clone()));
+            .map(|(name, header)| (name.to_string(), header.clone()));
         views.collect()
     }
 }
--- a/crates/coursestand-proxy/tests/accepting.rs
+++ b/crates/coursestand-proxy/tests/accepting.rs
@@ -33,7 +33,7 @@
     let resting = pile_up(server.address(), RESTING);
     let late = pile_up(server.address(), 1).remove(0);
     expect_that!(asks(late).await, some(eq(200)));
-    expect_that!(server.takes_callers(), eq(true));
+    expect_that!(server.is_accepting(), eq(true));
     drop(resting);
 }
 
@@ -51,7 +51,7 @@
         callers.push(caller);
     }
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    expect_that!(server.takes_callers(), eq(false));
+    expect_that!(server.is_accepting(), eq(false));
     // None of them was cut off for the next.
     for caller in &mut callers {
         expect_that!(caller.receive().await.status, eq(200));
@@ -59,8 +59,8 @@
     // It says that it takes callers again before any has come.
     drop(callers);
     tokio::time::sleep(Duration::from_millis(700)).await;
-    expect_that!(server.takes_callers(), eq(true));
+    expect_that!(server.is_accepting(), eq(true));
     let next = pile_up(server.address(), 1).remove(0);
     expect_that!(asks(next).await, some(eq(200)));
-    expect_that!(server.takes_callers(), eq(true));
+    expect_that!(server.is_accepting(), eq(true));
 }
--- a/crates/coursestand-proxy/tests/attempts.rs
+++ b/crates/coursestand-proxy/tests/attempts.rs
@@ -12,7 +12,8 @@
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 use coursestand_proxy::answer::Reason;
 use coursestand_proxy::phases::{
-    AttemptEnding, AttemptFailure, Attempts, Matched, RequestHead, RequestPhases, Target, TokenWait,
+    AttemptEnding, AttemptFailure, Attempts, Matched, PendingToken, RequestHead, RequestPhases,
+    Target,
 };
 use coursestand_proxy::retry::RetryVerdict;
 use coursestand_proxy::router::Router;
@@ -43,7 +44,7 @@
     fn ask_for_trial(&self, matched: &Matched) -> Option<oneshot::Receiver<()>> {
         self.0.ask_for_trial(matched)
     }
-    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<TokenWait> {
+    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<PendingToken> {
         self.0.ask_for_token(matched, attempts)
     }
     fn choose(
@@ -53,11 +54,11 @@
     ) -> std::result::Result<Target, Reason> {
         self.0.choose(matched, attempts)
     }
-    fn is_open(&self, target: &Target) -> bool {
-        self.0.is_open(target)
+    fn may_still_send(&self, target: &Target) -> bool {
+        self.0.may_still_send(target)
     }
-    fn told(&self, target: &Target, report: &BackendReport) {
-        self.0.told(target, report);
+    fn head_received(&self, target: &Target, report: &BackendReport) {
+        self.0.head_received(target, report);
     }
     fn answered(&self, target: &Target, report: &BackendReport) {
         self.0.answered(target, report);
@@ -65,8 +66,8 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport) {
         self.0.failed(target, failure, report);
     }
-    fn ended(&self, target: &Target, witnesses: Vec<Fingerprint>) {
-        self.0.ended(target, witnesses);
+    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>) {
+        self.0.crashed(target, witnesses);
     }
     fn finished(&self, target: &Target, ending: AttemptEnding) {
         self.0.finished(target, ending);
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -21,7 +21,8 @@
 use coursestand_proxy::EdgeState;
 use coursestand_proxy::answer::Reason;
 use coursestand_proxy::phases::{
-    AttemptEnding, AttemptFailure, Attempts, Matched, RequestHead, RequestPhases, Target, TokenWait,
+    AttemptEnding, AttemptFailure, Attempts, Matched, PendingToken, RequestHead, RequestPhases,
+    Target,
 };
 use coursestand_proxy::retry::RetryVerdict;
 use coursestand_proxy::router::Router;
@@ -172,7 +173,7 @@
     fn ask_for_trial(&self, matched: &Matched) -> Option<oneshot::Receiver<()>> {
         self.router.ask_for_trial(matched)
     }
-    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<TokenWait> {
+    fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<PendingToken> {
         self.router.ask_for_token(matched, attempts)
     }
     fn choose(
@@ -184,11 +185,11 @@
         (self.meanwhile)(&self.router, &target);
         Ok(target)
     }
-    fn is_open(&self, target: &Target) -> bool {
-        self.router.is_open(target)
+    fn may_still_send(&self, target: &Target) -> bool {
+        self.router.may_still_send(target)
     }
-    fn told(&self, target: &Target, report: &BackendReport) {
-        self.router.told(target, report);
+    fn head_received(&self, target: &Target, report: &BackendReport) {
+        self.router.head_received(target, report);
     }
     fn answered(&self, target: &Target, report: &BackendReport) {
         self.router.answered(target, report);
@@ -196,8 +197,8 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport) {
         self.router.failed(target, failure, report);
     }
-    fn ended(&self, target: &Target, witnesses: Vec<Fingerprint>) {
-        self.router.ended(target, witnesses);
+    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>) {
+        self.router.crashed(target, witnesses);
     }
     fn finished(&self, target: &Target, ending: AttemptEnding) {
         self.router.finished(target, ending);
@@ -234,7 +235,7 @@
         backoff_ms: Some(ASKED.as_millis() as u64),
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.told(target, &asking);
+    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &asking);
     let (edge, answer) = overtaken(Box::new(meanwhile)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(seconds_of(&answer), some(ge(1.9)));
@@ -248,7 +249,7 @@
         drains: true,
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.told(target, &draining);
+    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &draining);
     let (edge, answer) = overtaken(Box::new(meanwhile)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(0));
@@ -262,7 +263,7 @@
         rate: RateWord::Limited(Rate::per_second(0.2)),
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.told(target, &naming);
+    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &naming);
     let (edge, answer) = overtaken(Box::new(meanwhile)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(0));
@@ -279,8 +280,8 @@
             router: Router::new(state),
             meanwhile: Box::new(move |_, target| {
                 let state = shared.get().expect("set before the first request");
-                let mut beliefs = state.beliefs();
-                beliefs.catalog.set_evacuation(&target.zone, true, 100);
+                let mut routing = state.routing();
+                routing.catalog.set_evacuation(&target.zone, true, 100);
             }),
         })
     })
@@ -298,8 +299,8 @@
 async fn what_two_other_daemons_heard_of_draining_binds_and_one_word_does_not() {
     let edge = Edge::start(Rules::default(), vec![(vec![], GOOD), (vec![], GOOD)]).await;
     let backend = {
-        let beliefs = edge.state.beliefs();
-        let known = beliefs.backends.get(&BackendId::from("i-0"));
+        let routing = edge.state.routing();
+        let known = routing.backends.get(&BackendId::from("i-0"));
         known.expect("known").memory
     };
     let says = |number, reporter| SharedFinding {
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -133,7 +133,7 @@
     };
     let state = EdgeState::new(MonotonicClock::default(), place, bounds);
     // As after its first moments, whether it is connected with control now or not.
-    state.beliefs().is_informed = true;
+    state.routing().is_synced = true;
     Arc::new(state)
 }
 
--- a/crates/coursestand-proxy/tests/few_descriptors.rs
+++ b/crates/coursestand-proxy/tests/few_descriptors.rs
@@ -46,7 +46,7 @@
     let late = pile_up(address, 1).remove(0);
     let few = FewDescriptors::leave(24);
     expect_that!(asks(late).await, some(eq(200)));
-    expect_that!(edge.server.takes_callers(), eq(true));
+    expect_that!(edge.server.is_accepting(), eq(true));
     drop(few);
     drop(resting);
 }
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -12,7 +12,7 @@
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::Behaviour;
 use coursestand_proxy::EdgeState;
-use coursestand_proxy::tokens::LimitNote;
+use coursestand_proxy::tokens::RateLimitMessage;
 use coursestand_routing::rate_limit::TokenIssuer;
 use coursestand_routing::{LimitNews, Rate};
 use googletest::prelude::*;
@@ -31,22 +31,22 @@
 /// Answers requests for tokens as a control process that leads. Returns how many it got.
 fn issue_tokens(state: &Arc<EdgeState>) -> JoinHandle<()> {
     state.set_following(true);
-    let mut notes = state.limit_notes();
+    let mut notes = state.rate_limit_messages();
     let state = Arc::clone(state);
     let mut issuer = TokenIssuer::default();
     tokio::spawn(async move {
         while let Ok(note) = notes.recv().await {
             let now = state.now();
             match note {
-                LimitNote::News(news) => {
+                RateLimitMessage::Update(news) => {
                     let named_at = now.saturating_sub(news.age_ms);
                     issuer.take_news(now, news.backend, news.rate, named_at);
                 }
-                LimitNote::Token {
+                RateLimitMessage::Token {
                     number, request, ..
                 } => {
                     let verdict = issuer.ask(now, &request);
-                    state.take_token_verdict(control(), number, &verdict);
+                    state.handle_token_verdict(control(), number, &verdict);
                 }
             }
         }
@@ -120,7 +120,7 @@
     let before = edge.arrivals();
     let answers = ask_for(&edge, "after", Duration::from_secs(1)).await;
     expect_that!(edge.arrivals() - before, eq(answers.len()));
-    expect_that!(edge.state.beliefs().backends.limited(), eq(0));
+    expect_that!(edge.state.routing().backends.limited(), eq(0));
     control.abort();
 }
 
@@ -147,17 +147,17 @@
 async fn a_limit_is_believed_of_two_other_daemons() {
     let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
     let state = &edge.state;
-    let backend = state.beliefs().backends.iter().next().map(|one| one.memory);
+    let backend = state.routing().backends.iter().next().map(|one| one.memory);
     let news = |reporter| LimitNews {
         reporter,
         backend: backend.expect("a back end"),
         rate: Some(Rate::per_second(5.0)),
         age_ms: 0,
     };
-    state.adopt_limits(&[news(1), news(1)]);
-    expect_that!(state.beliefs().backends.limited(), eq(0));
-    state.adopt_limits(&[news(2)]);
-    expect_that!(state.beliefs().backends.limited(), eq(1));
+    state.adopt_rate_limits(&[news(1), news(1)]);
+    expect_that!(state.routing().backends.limited(), eq(0));
+    state.adopt_rate_limits(&[news(2)]);
+    expect_that!(state.routing().backends.limited(), eq(1));
 }
 
 /// Guards against a later incarnation that is bound by what an earlier one named.
@@ -173,7 +173,7 @@
     };
     edge.state.adopt_instances(vec![incarnation(1)]);
     ask(&edge, "first").await;
-    expect_that!(edge.state.beliefs().backends.limited(), eq(1));
+    expect_that!(edge.state.routing().backends.limited(), eq(1));
     edge.state.adopt_instances(vec![incarnation(2)]);
-    expect_that!(edge.state.beliefs().backends.limited(), eq(0));
+    expect_that!(edge.state.routing().backends.limited(), eq(0));
 }
--- a/crates/coursestand-proxy/tests/serving.rs
+++ b/crates/coursestand-proxy/tests/serving.rs
@@ -65,7 +65,7 @@
     while edge.arrivals() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    edge.exchange.ends_at(Instant::now() + WITHIN);
+    edge.exchange.set_stop_time(Instant::now() + WITHIN);
     edge.server.announce_stop();
     // Callers whose look-ups are older are still served.
     let late = idle.ask("/once/a", "r2", "").await;
@@ -94,7 +94,7 @@
         edge.server.announce_stop();
         if has_end {
             edge.exchange
-                .ends_at(Instant::now() + Duration::from_millis(300));
+                .set_stop_time(Instant::now() + Duration::from_millis(300));
         }
         let mut caller = Caller::connect(edge.server.address()).await;
         caller.send("/once/a", "r1", "", b"a body").await;
--- a/crates/coursestand-proxy/tests/unsettled_retries.rs
+++ b/crates/coursestand-proxy/tests/unsettled_retries.rs
@@ -46,7 +46,7 @@
             path: "/safe/a".to_owned(),
             query: None,
             affinity_key: None,
-            patience: None,
+            caller_timeout: None,
         };
         self.router.match_request(&head).expect("a route")
     }
@@ -65,8 +65,8 @@
     }
 
     fn held(&self) -> usize {
-        let beliefs = self.edge.state.beliefs();
-        let budget = &beliefs.budgets[&ServiceId::from("s")];
+        let routing = self.edge.state.routing();
+        let budget = &routing.budgets[&ServiceId::from("s")];
         budget.held(self.edge.state.now(), self.edge.state.bounds().retries)
     }
 
@@ -85,7 +85,7 @@
     let matched = fixture.request();
     let repeat = fixture.repeat(&matched);
     expect_that!(fixture.held(), eq(0));
-    fixture.router.finished(&repeat, AttemptEnding::InDoubt);
+    fixture.router.finished(&repeat, AttemptEnding::Unresolved);
     expect_that!(fixture.held(), eq(1));
     expect_that!(fixture.may_retry(&matched), eq(false));
     let later = fixture.first(&matched);
@@ -100,7 +100,7 @@
     let fixture = Fixture::start().await;
     let matched = fixture.request();
     let repeat = fixture.repeat(&matched);
-    fixture.router.finished(&repeat, AttemptEnding::Settled);
+    fixture.router.finished(&repeat, AttemptEnding::Resolved);
     expect_that!(fixture.held(), eq(0));
 }
 
@@ -114,7 +114,7 @@
     fixture
         .router
         .failed(&first, AttemptFailure::Silent, &report);
-    fixture.router.finished(&first, AttemptEnding::InDoubt);
+    fixture.router.finished(&first, AttemptEnding::Unresolved);
     expect_that!(fixture.held(), eq(1));
 }
 
@@ -124,9 +124,9 @@
     let fixture = Fixture::start().await;
     let matched = fixture.request();
     let repeat = fixture.repeat(&matched);
-    fixture.router.finished(&repeat, AttemptEnding::InDoubt);
-    fixture.edge.state.share(Finding::Ended {
-        backend: repeat.memory,
+    fixture.router.finished(&repeat, AttemptEnding::Unresolved);
+    fixture.edge.state.publish_finding(Finding::Ended {
+        backend: repeat.incarnation_hash,
         witnesses: Vec::new(),
     });
     expect_that!(fixture.held(), eq(0));
--- a/crates/coursestand-proxy/tests/untrusted_figures.rs
+++ b/crates/coursestand-proxy/tests/untrusted_figures.rs
@@ -7,7 +7,7 @@
 use coursestand_proxy::HeaderNames;
 use coursestand_proxy::caller_limits::CallerLimits;
 use coursestand_proxy::headers::keep_alive_of;
-use coursestand_proxy::told::Told;
+use coursestand_proxy::response_metadata::ResponseMetadata;
 use coursestand_routing::{Rate, RateWord};
 use googletest::prelude::*;
 use http::header::HeaderValue;
@@ -40,13 +40,13 @@
     expect_that!(can_be_waited_for(idle), eq(true));
 }
 
-fn told(status: u16, lines: &[(&'static str, &'static str)]) -> Told {
+fn told(status: u16, lines: &[(&'static str, &'static str)]) -> ResponseMetadata {
     let mut headers = HeaderMap::new();
     for (name, value) in lines {
         headers.append(*name, HeaderValue::from_static(value));
     }
     let status = StatusCode::from_u16(status).expect("a status");
-    Told::read(&HeaderNames::default(), status, &headers)
+    ResponseMetadata::read(&HeaderNames::default(), status, &headers)
 }
 
 #[gtest]
