--- a/crates/coursestand-daemon/src/control/shared.rs
+++ b/crates/coursestand-daemon/src/control/shared.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::control::identity::Identity;
-use crate::fleet::catalog_news::CatalogNews;
+use crate::fleet::catalog_updates::CatalogNews;
 
 /// What a replica says of itself.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -120,7 +120,7 @@
     /// ask from the same one, and the driver must not wait for each to read.
     deltas: Mutex<HashMap<ControlVersion, Arc<Delta>>>,
     /// Changes of the catalog that are ready for entry daemons.
-    catalog_news: CatalogNews,
+    catalog_updates: CatalogNews,
 }
 
 impl ControlShared {
@@ -138,7 +138,7 @@
             version: watch::Sender::new(0),
             catalog_version: watch::Sender::new(0),
             deltas: Mutex::default(),
-            catalog_news: CatalogNews::default(),
+            catalog_updates: CatalogNews::default(),
         }
     }
 
@@ -257,8 +257,8 @@
     }
 
     /// Changes of the catalog that are ready for entry daemons.
-    pub fn catalog_news(&self) -> &CatalogNews {
-        &self.catalog_news
+    pub fn catalog_updates(&self) -> &CatalogNews {
+        &self.catalog_updates
     }
 
     /// Tells of new versions of the followers' tables.
--- a/crates/coursestand-daemon/src/fleet/hub/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/mod.rs
@@ -20,12 +20,12 @@
 
 use crate::fleet::peer_links::PeerLinks;
 use crate::fleet::wire::{ControlGroup, PeerMessage, Starts, ToEdge};
-use cases::CaseDesk;
-use limits::LimitDesk;
+use crash_records::CaseDesk;
+use rate_limits::LimitDesk;
 
-mod cases;
+mod crash_records;
 mod edges;
-mod limits;
+mod rate_limits;
 
 const LOG: &str = "hub";
 /// News that wait for an entry daemon; one with more is cut off, and gets all
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -22,7 +22,7 @@
 use crate::control::handle::ControlHandle;
 use crate::control::peers::Envelope;
 use crate::control::shared::{ControlShared, LogReach};
-use crate::fleet::catalog_news::{CatalogTelling, Telling};
+use crate::fleet::catalog_updates::{CatalogTelling, Telling};
 use crate::fleet::formation::Formation;
 use crate::fleet::hub::{EdgeNames, Hub, Reads};
 use crate::fleet::report_limit::ReportLimit;
@@ -456,7 +456,7 @@
     async fn send_catalog(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
         let shared = &self.serving.control.shared;
         let version = shared.state().catalog().version();
-        let news = shared.catalog_news();
+        let news = shared.catalog_updates();
         let telling = self
             .catalog
             .tell(version, news, |since| read_changes(shared, since));
@@ -477,7 +477,7 @@
     ) -> Result<(), StreamError> {
         let shared = &self.serving.control.shared;
         let version = shared.state().catalog().version();
-        let news = shared.catalog_news();
+        let news = shared.catalog_updates();
         let fetched = self
             .catalog
             .fetch(have, version, news, |since| read_changes(shared, since));
--- a/crates/coursestand-daemon/src/fleet/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/mod.rs
@@ -4,8 +4,8 @@
 //! `docs/design/0006-fleet-on-a-platform.md` tells which part serves what.
 
 pub mod catalog_follower;
-pub mod catalog_news;
 pub mod catalog_parts;
+pub mod catalog_updates;
 pub mod control_api;
 mod control_link;
 pub mod control_service;
--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_telling.rs
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 
 use coursestand_catalog::{Catalog, Patch};
-use coursestand_daemon::fleet::catalog_news::{CatalogNews, CatalogTelling, Telling};
 use coursestand_daemon::fleet::catalog_parts::CatalogParts;
+use coursestand_daemon::fleet::catalog_updates::{CatalogNews, CatalogTelling, Telling};
 use coursestand_daemon::fleet::wire::ToEdge;
 use coursestand_lab::items;
 use coursestand_transport::frame::{decode, encode};
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -9,7 +9,7 @@
 
 use coursestand_catalog::{Catalog, Patch, RouteKind};
 use coursestand_daemon::control::shared::LogReach;
-use coursestand_daemon::fleet::catalog_news::{CatalogNews, CatalogTelling, Telling};
+use coursestand_daemon::fleet::catalog_updates::{CatalogNews, CatalogTelling, Telling};
 use coursestand_daemon::fleet::wire::{ControlGroup, EdgeChange, Starts, ToControl, ToEdge};
 use coursestand_discovery::InstanceNews;
 use coursestand_lab::items;
