--- a/crates/coursestand-daemon/src/control/shared.rs
+++ b/crates/coursestand-daemon/src/control/shared.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::control::identity::Identity;
-use crate::fleet::catalog_updates::CatalogNews;
+use crate::fleet::catalog_updates::CatalogUpdates;
 
 /// What a replica says of itself.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -120,7 +120,7 @@
     /// ask from the same one, and the driver must not wait for each to read.
     deltas: Mutex<HashMap<ControlVersion, Arc<Delta>>>,
     /// Changes of the catalog that are ready for entry daemons.
-    catalog_updates: CatalogNews,
+    catalog_updates: CatalogUpdates,
 }
 
 impl ControlShared {
@@ -138,7 +138,7 @@
             version: watch::Sender::new(0),
             catalog_version: watch::Sender::new(0),
             deltas: Mutex::default(),
-            catalog_updates: CatalogNews::default(),
+            catalog_updates: CatalogUpdates::default(),
         }
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// Changes of the catalog that are ready for entry daemons.
-    pub fn catalog_updates(&self) -> &CatalogNews {
+    pub fn catalog_updates(&self) -> &CatalogUpdates {
         &self.catalog_updates
     }
 
--- a/crates/coursestand-daemon/src/fleet/catalog_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_follower.rs
@@ -1,5 +1,5 @@
-//! An entry daemon's copy of the catalog: how new it is, what of it is missing, and which
-//! control process is asked for that.
+//! An entry daemon's copy of the catalog: tracks its freshness, the changes that it lacks, and
+//! the control process that they are fetched from.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 const LOG: &str = "follower";
 
-/// Follows the catalog.
+/// Follows the catalog of the control group.
 pub struct CatalogFollower {
     state: Arc<EdgeState>,
     freshness: Mutex<Freshness<SocketAddr>>,
@@ -24,7 +24,7 @@
 }
 
 impl CatalogFollower {
-    /// Feeds what is told into `state`.
+    /// Creates a follower that applies catalog changes to `state`.
     pub fn new(state: Arc<EdgeState>) -> CatalogFollower {
         CatalogFollower {
             state,
@@ -43,74 +43,75 @@
         self.catch_up.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Newest change that is in force here.
+    /// Returns the newest catalog version in force in this daemon.
     pub fn version(&self) -> u64 {
         self.state.beliefs().catalog.version()
     }
 
-    /// Whether nothing was ever told.
+    /// Returns whether no catalog was received so far.
     pub fn is_empty(&self) -> bool {
         self.state.beliefs().catalog.is_empty()
     }
 
-    /// Milliseconds since the moment before which every acknowledged change is known
-    /// to be in force here; `None` before that was proven once.
+    /// Returns the age of the catalog in milliseconds: every change acknowledged before that
+    /// time is known to be in force here. `None` until that has been proven once.
     pub fn age_ms(&self) -> Option<Millis> {
         let proven_at = self.freshness().proven_at();
         proven_at.map(|proven_at| self.state.now().saturating_sub(proven_at))
     }
 
-    /// The voters of the control group, made so by the change at `changed_at`. Returns
-    /// whether that is not older than what is known.
+    /// Sets the voters of the control group after the membership change at log index
+    /// `changed_at`. Returns whether this is at least as new as the group known so far.
     pub fn set_voters(&self, voters: BTreeSet<SocketAddr>, changed_at: u64) -> bool {
         self.freshness().set_members(voters, changed_at)
     }
 
-    /// Takes in changes that `from` sent.
-    pub fn take(&self, from: SocketAddr, delta: CatalogDelta) {
+    /// Applies changes that `from` sent.
+    pub fn apply(&self, from: SocketAddr, delta: CatalogDelta) {
         let version = delta.version;
         let items = delta.items.len();
         if delta.since > self.version() {
             info!(target: LOG, control:% = from, since = delta.since, catalog = version;
-                "changes are left out: earlier ones are missing");
+                "catalog changes ignored: earlier changes are missing");
         }
         self.catch_up().note_told(from, version);
         if self.state.adopt_catalog(delta) {
             info!(target: LOG, control:% = from, catalog = version, items = items;
                 "the catalog changed");
         }
-        let held = self.version();
-        self.catch_up().hold(held);
-        self.freshness().hold(held);
+        let version = self.version();
+        self.catch_up().hold(version);
+        self.freshness().hold(version);
     }
 
-    /// `from` has the catalog up to this change.
-    pub fn note_told(&self, from: SocketAddr, version: u64) {
+    /// Records that `from` has the catalog up to this version.
+    pub fn note_version(&self, from: SocketAddr, version: u64) {
         self.catch_up().note_told(from, version);
     }
 
-    /// `from` was asked at `asked_at` how far its log reaches; its catalog is at `version`.
+    /// Records how far the log of `from` reached when it was asked at `asked_at`, and that its
+    /// catalog is at `version`.
     pub fn note_reach(&self, from: SocketAddr, asked_at: Millis, reach: LogReach, version: u64) {
         let mut freshness = self.freshness();
         freshness.note_applied(version, reach.applied);
         freshness.note_log_end(from, asked_at, reach.end);
     }
 
-    /// Whether `from` is to be asked for what is missing. If another one is asked, it has
-    /// been silent for `patience` then.
-    pub fn should_fetch(&self, from: SocketAddr, patience: Duration) -> bool {
+    /// Returns whether to fetch missing changes from `from`. This also replaces a control
+    /// process that has sent nothing for `answer_timeout` although asked.
+    pub fn should_fetch(&self, from: SocketAddr, answer_timeout: Duration) -> bool {
         let now = self.state.now();
-        let patience_ms = patience.as_millis() as Millis;
-        self.catch_up().should_ask(&from, now, patience_ms)
+        let timeout_ms = answer_timeout.as_millis() as Millis;
+        self.catch_up().should_ask(&from, now, timeout_ms)
     }
 
-    /// A part of what `from` was asked for came.
+    /// Records that a part of the changes fetched from `from` arrived.
     pub fn note_part(&self, from: SocketAddr) {
         let now = self.state.now();
         self.catch_up().note_progress(&from, now);
     }
 
-    /// What `from` was asked for will not come: its connection is another one.
+    /// Drops the fetch from `from`, whose connection was replaced.
     pub fn forget(&self, from: SocketAddr) {
         self.catch_up().forget(&from);
     }
--- a/crates/coursestand-daemon/src/fleet/catalog_parts.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_parts.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a catalog frame together again.
+//! Reassembles a catalog frame from its parts.
 
 use coursestand_transport::TransportError;
 use coursestand_transport::frame::decode;
@@ -6,7 +6,7 @@
 
 use crate::fleet::wire::{CatalogPart, ToEdge};
 
-/// Parts of one frame that came so far.
+/// Parts of one frame that have arrived.
 #[derive(Debug, Default)]
 pub struct CatalogParts {
     version: u64,
@@ -14,9 +14,10 @@
 }
 
 impl CatalogParts {
-    /// Takes a part in. Returns the message once it is whole. Parts of a frame that was
-    /// not begun are passed over: they were sent before the sender was asked anew.
-    pub fn take(&mut self, part: CatalogPart) -> Result<Option<ToEdge>, TransportError> {
+    /// Adds a part and returns the message once it is complete. Ignores parts of a frame whose
+    /// first part was not seen: they were sent before the transfer was restarted. Fails if the
+    /// complete frame can't be decompressed or decoded.
+    pub fn add(&mut self, part: CatalogPart) -> Result<Option<ToEdge>, TransportError> {
         if part.offset == 0 {
             self.version = part.version;
             self.packed.clear();
--- a/crates/coursestand-daemon/src/fleet/catalog_updates.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_updates.rs
@@ -1,12 +1,12 @@
-//! What control processes tell entry daemons of the catalog, and how much at once.
+//! Distribution of catalog changes from control processes to entry daemons, with flow control.
 //!
-//! A small change goes to each daemon from each control process: nothing is sooner there.
-//! A large one is only told of; the daemon asks one of them for it, and gets it packed
-//! and in parts, the next as one arrives. So it passes the daemon's link once, no order
-//! to leave waits behind more than [`PARTS_AT_ONCE`] parts, and a control process keeps
-//! one copy, however many daemons ask. Sent whole by five processes, 1,400 routes took a
-//! link of 2 Mbit/s 4.8 s, and 4,232 of them 250 MB of each process after a restart of
-//! all.
+//! Every control process pushes a small change to each daemon, which gives the lowest latency.
+//! A large change is only announced: the daemon fetches it from one control process, compressed
+//! and in parts, and each part that arrives requests the next. So the change passes the
+//! daemon's link once, an order to leave queues behind at most [`MAX_PARTS_IN_FLIGHT`] parts,
+//! and a control process holds one copy for all daemons. Sent whole by five processes, 1,400
+//! routes would occupy a link of 2 Mbit/s for 4.8 s, and 4,232 routes would take 250 MB of memory
+//! in each process after a restart of all.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -22,226 +22,229 @@
 use crate::fleet::wire::{CatalogPart, ToEdge};
 
 const LOG: &str = "mesh";
-/// Largest frame in bytes that is sent unasked. From five control processes it takes a
-/// link of 2 Mbit/s 82 ms; the first catalog of a site with 30 routes is smaller.
-const MOST_UNASKED: usize = 4_096;
-/// Bytes a second that one connection tells unasked: five take a fifth of 2 Mbit/s. What
-/// comes meanwhile is told together, or as a large change. 1,400 changes within 1.4 s
-/// take 1.4 kB of each connection in place of 88 (test, one run).
-const UNASKED_BYTES_PER_SECOND: f64 = 10_000.0;
-/// Shortest time between two changes that are told: each is a packet of its own.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+/// Largest frame that is pushed, in bytes. Pushed by five control processes, it occupies a
+/// link of 2 Mbit/s for 82 ms. The initial catalog of a site with 30 routes is smaller.
+const MAX_PUSH_BYTES: usize = 4_096;
+/// Push bandwidth of one connection: five connections use a fifth of a 2 Mbit/s link. Changes
+/// within the pause are merged, or announced as one large change: 1,400 changes
+/// within 1.4 s take 1.4 kB of a connection instead of 88 kB.
+const PUSH_BYTES_PER_SECOND: f64 = 10_000.0;
+/// Shortest time between two pushes, each of which is a packet of its own.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(20);
 /// Bytes of one part.
 const PART_BYTES: usize = 8_192;
-/// Parts that are on their way at once: together 0.13 s of a link of 2 Mbit/s, which is
-/// more than a round trip between regions takes, so that the link does not idle.
-const PARTS_AT_ONCE: usize = 4;
-/// Starting points for which changes are kept ready; daemons ask from few.
-const MOST_KEPT: usize = 8;
+/// Limit of parts in flight. Together they occupy a link of 2 Mbit/s for 0.13 s, longer than
+/// a round trip between regions, so that the link does not idle.
+const MAX_PARTS_IN_FLIGHT: usize = 4;
+/// Limit of versions for which the changes since then are cached; daemons start from few
+/// versions.
+const MAX_CACHED_CHANGES: usize = 8;
 
-/// Changes from one version to another, ready to be sent to any number of daemons.
+/// Changes from one version to another, encoded once for any number of daemons.
 #[derive(Debug)]
-pub struct ReadyChanges {
-    /// Newest change that they hold.
+pub struct EncodedChanges {
+    /// Newest version that the changes lead to.
     version: u64,
     items: usize,
     frame: Bytes,
-    packed: OnceLock<Bytes>,
+    compressed: OnceLock<Bytes>,
 }
 
-impl ReadyChanges {
-    fn new(delta: CatalogDelta) -> Result<ReadyChanges, TransportError> {
+impl EncodedChanges {
+    fn new(delta: CatalogDelta) -> Result<EncodedChanges, TransportError> {
         let version = delta.version;
         let items = delta.items.len();
         let frame = encode(&ToEdge::Catalog(delta))?;
-        Ok(ReadyChanges {
+        Ok(EncodedChanges {
             version,
             items,
             frame: Bytes::from(frame),
-            packed: OnceLock::new(),
+            compressed: OnceLock::new(),
         })
     }
 
     fn is_small(&self) -> bool {
-        self.frame.len() <= MOST_UNASKED
+        self.frame.len() <= MAX_PUSH_BYTES
     }
 
-    fn packed(&self) -> Result<Bytes, TransportError> {
-        if let Some(packed) = self.packed.get() {
-            return Ok(packed.clone());
+    fn compressed(&self) -> Result<Bytes, TransportError> {
+        if let Some(compressed) = self.compressed.get() {
+            return Ok(compressed.clone());
         }
-        let packed = Bytes::from(pack(&self.frame)?);
+        let compressed = Bytes::from(pack(&self.frame)?);
         info!(target: LOG, catalog = self.version, items = self.items,
-            bytes = self.frame.len(), packed_bytes = packed.len();
+            bytes = self.frame.len(), packed_bytes = compressed.len();
             "a large change is ready for entry daemons");
-        Ok(self.packed.get_or_init(|| packed).clone())
+        Ok(self.compressed.get_or_init(|| compressed).clone())
     }
 }
 
-/// Changes up to the newest version, by the version from which they lead there.
+/// Cache of encoded changes up to the newest version, by the version that they start from.
 #[derive(Debug, Default)]
-pub struct CatalogNews {
-    kept: Mutex<HashMap<u64, Arc<ReadyChanges>>>,
+pub struct CatalogUpdates {
+    cached: Mutex<HashMap<u64, Arc<EncodedChanges>>>,
 }
 
-impl CatalogNews {
-    /// The changes after `since` up to `version`, which is the newest; `read` gives them
-    /// when they aren't kept ready.
+impl CatalogUpdates {
+    /// Returns the changes after `since` up to `version`, the newest one; calls `read` on a
+    /// cache miss. Fails if the changes can't be encoded.
     pub fn changes(
         &self,
         since: u64,
         version: u64,
         read: impl FnOnce(u64) -> CatalogDelta,
-    ) -> Result<Arc<ReadyChanges>, TransportError> {
-        // Held while they are made: the others would make the same.
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(ready) = kept.get(&since)
+    ) -> Result<Arc<EncodedChanges>, TransportError> {
+        // Locked while the changes are encoded, so that no other connection encodes the same.
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(ready) = cached.get(&since)
             && ready.version >= version
         {
             return Ok(Arc::clone(ready));
         }
-        let ready = Arc::new(ReadyChanges::new(read(since))?);
-        kept.retain(|_, other| other.version >= ready.version);
-        if kept.len() >= MOST_KEPT {
-            kept.clear();
+        let ready = Arc::new(EncodedChanges::new(read(since))?);
+        cached.retain(|_, other| other.version >= ready.version);
+        if cached.len() >= MAX_CACHED_CHANGES {
+            cached.clear();
         }
-        kept.insert(since, Arc::clone(&ready));
+        cached.insert(since, Arc::clone(&ready));
         Ok(ready)
     }
 }
 
-/// What is sent to one daemon next.
+/// The next message to one daemon.
 #[derive(Debug)]
-pub enum Telling {
-    /// A frame that is ready.
+pub enum CatalogMessage {
+    /// An encoded frame.
     Frame(Bytes),
-    /// A message.
+    /// A message to be encoded.
     Message(ToEdge),
 }
 
-/// Parts of packed changes that a daemon asked for.
+/// A transfer of compressed changes in parts, at a daemon's request.
 #[derive(Debug)]
-struct Transfer {
+struct PartTransfer {
     version: u64,
-    packed: Bytes,
+    compressed: Bytes,
     sent: usize,
 }
 
-impl Transfer {
+impl PartTransfer {
     fn next_part(&mut self) -> Option<CatalogPart> {
         let offset = self.sent;
-        let end = (offset + PART_BYTES).min(self.packed.len());
+        let end = (offset + PART_BYTES).min(self.compressed.len());
         if offset == end {
             return None;
         }
         self.sent = end;
         Some(CatalogPart {
             version: self.version,
-            length: self.packed.len(),
+            length: self.compressed.len(),
             offset,
-            bytes: self.packed.slice(offset..end).to_vec(),
+            bytes: self.compressed.slice(offset..end).to_vec(),
         })
     }
 
     fn is_sent(&self) -> bool {
-        self.sent == self.packed.len()
+        self.sent == self.compressed.len()
     }
 }
 
-/// How far one connection has told a daemon the catalog.
+/// State of the catalog distribution on one connection.
 #[derive(Debug)]
-pub struct CatalogTelling {
-    /// The daemon has all up to this change once it has read what was sent.
-    have: u64,
-    /// Newest change that it was told of without its content.
+pub struct CatalogDistribution {
+    /// Version that the daemon has once it has read what was sent.
+    version_sent: u64,
+    /// Newest version that was announced without its content.
     announced: u64,
-    /// Something of the catalog was sent on this connection.
-    has_told: bool,
+    /// Whether anything of the catalog was sent on this connection.
+    has_sent: bool,
     pause: Duration,
-    transfer: Option<Transfer>,
+    transfer: Option<PartTransfer>,
 }
 
-impl CatalogTelling {
-    /// Begins with a daemon that has all up to `have`.
-    pub fn new(have: u64) -> CatalogTelling {
-        CatalogTelling {
-            have,
+impl CatalogDistribution {
+    /// Starts with a daemon that has the catalog up to `version_sent`.
+    pub fn new(version_sent: u64) -> CatalogDistribution {
+        CatalogDistribution {
+            version_sent,
             announced: 0,
-            has_told: false,
+            has_sent: false,
             pause: Duration::ZERO,
             transfer: None,
         }
     }
 
-    /// How long the next change should wait after what was told last.
+    /// Returns the minimum time between the last push and the next one.
     pub fn pause(&self) -> Duration {
         self.pause
     }
 
-    /// Newest change that the daemon has.
-    pub fn have(&self) -> u64 {
-        self.have
+    /// Returns the version that the daemon has once it has read what was sent.
+    pub fn version_sent(&self) -> u64 {
+        self.version_sent
     }
 
-    /// The daemon has all up to `have`, from wherever.
-    pub fn note_have(&mut self, have: u64) {
-        self.have = self.have.max(have);
+    /// Records that the daemon has the catalog up to `daemon_version`, from any control process.
+    pub fn note_version(&mut self, daemon_version: u64) {
+        self.version_sent = self.version_sent.max(daemon_version);
     }
 
-    /// What the daemon is told when the catalog is at `version`.
-    pub fn tell(
+    /// Returns the message that brings the daemon to `version` or announces it, or `None` if it
+    /// needs none. Fails if the changes can't be encoded.
+    pub fn next_message(
         &mut self,
         version: u64,
-        news: &CatalogNews,
+        updates: &CatalogUpdates,
         read: impl FnOnce(u64) -> CatalogDelta,
-    ) -> Result<Option<Telling>, TransportError> {
-        let is_news = version > self.have.max(self.announced) || !self.has_told;
-        if version == 0 || !is_news {
+    ) -> Result<Option<CatalogMessage>, TransportError> {
+        let is_new = version > self.version_sent.max(self.announced) || !self.has_sent;
+        if version == 0 || !is_new {
             return Ok(None);
         }
-        self.has_told = true;
-        self.pause = LEAST_PAUSE;
-        let changes = news.changes(self.have, version, read)?;
+        self.has_sent = true;
+        self.pause = MIN_PUSH_INTERVAL;
+        let changes = updates.changes(self.version_sent, version, read)?;
         if changes.is_small() {
-            let takes_s = changes.frame.len() as f64 / UNASKED_BYTES_PER_SECOND;
-            self.pause = LEAST_PAUSE.max(Duration::from_secs_f64(takes_s));
-            return Ok(Some(self.push(&changes)));
+            let transmit_s = changes.frame.len() as f64 / PUSH_BYTES_PER_SECOND;
+            self.pause = MIN_PUSH_INTERVAL.max(Duration::from_secs_f64(transmit_s));
+            return Ok(Some(self.push_message(&changes)));
         }
         self.announced = changes.version;
-        let announcement = ToEdge::CatalogIsAt(changes.version);
-        Ok(Some(Telling::Message(announcement)))
+        let announcement = ToEdge::CatalogVersion(changes.version);
+        Ok(Some(CatalogMessage::Message(announcement)))
     }
 
-    fn push(&mut self, changes: &ReadyChanges) -> Telling {
-        self.have = self.have.max(changes.version);
-        Telling::Frame(changes.frame.clone())
+    fn push_message(&mut self, changes: &EncodedChanges) -> CatalogMessage {
+        self.version_sent = self.version_sent.max(changes.version);
+        CatalogMessage::Frame(changes.frame.clone())
     }
 
-    /// The daemon has all up to `have` and asks for the rest, up to `version`.
+    /// Answers a daemon that has the catalog up to `daemon_version` and requests the changes up
+    /// to `version`. Fails if they can't be encoded or compressed.
     pub fn fetch(
         &mut self,
-        have: u64,
+        daemon_version: u64,
         version: u64,
-        news: &CatalogNews,
+        updates: &CatalogUpdates,
         read: impl FnOnce(u64) -> CatalogDelta,
-    ) -> Result<Vec<Telling>, TransportError> {
-        self.note_have(have);
-        let changes = news.changes(self.have, version, read)?;
+    ) -> Result<Vec<CatalogMessage>, TransportError> {
+        self.note_version(daemon_version);
+        let changes = updates.changes(self.version_sent, version, read)?;
         if changes.is_small() {
-            return Ok(vec![self.push(&changes)]);
+            return Ok(vec![self.push_message(&changes)]);
         }
         self.announced = changes.version;
-        self.transfer = Some(Transfer {
+        self.transfer = Some(PartTransfer {
             version: changes.version,
-            packed: changes.packed()?,
+            compressed: changes.compressed()?,
             sent: 0,
         });
-        let parts = (0..PARTS_AT_ONCE).filter_map(|_| self.next_part());
+        let parts = (0..MAX_PARTS_IN_FLIGHT).filter_map(|_| self.next_part());
         Ok(parts.collect())
     }
 
-    /// A part of the changes up to `version` arrived: the next one, if there is one.
-    pub fn part_taken(&mut self, version: u64) -> Option<Telling> {
+    /// Returns the next part, if any, after a part of the changes up to `version` arrived.
+    pub fn part_received(&mut self, version: u64) -> Option<CatalogMessage> {
         let is_current = self
             .transfer
             .as_ref()
@@ -249,14 +252,15 @@
         is_current.then(|| self.next_part()).flatten()
     }
 
-    fn next_part(&mut self) -> Option<Telling> {
+    fn next_part(&mut self) -> Option<CatalogMessage> {
         let transfer = self.transfer.as_mut()?;
         let part = transfer.next_part()?;
         if transfer.is_sent() {
-            // All that is sent later on this connection is read later.
-            self.have = self.have.max(transfer.version);
+            // The daemon reads messages in order, so it has this version when it reads later
+            // ones.
+            self.version_sent = self.version_sent.max(transfer.version);
             self.transfer = None;
         }
-        Some(Telling::Message(ToEdge::CatalogPart(part)))
+        Some(CatalogMessage::Message(ToEdge::CatalogPart(part)))
     }
 }
--- a/crates/coursestand-daemon/src/fleet/control_api.rs
+++ b/crates/coursestand-daemon/src/fleet/control_api.rs
@@ -1,4 +1,4 @@
-//! Answers operators, back ends and clients.
+//! HTTP interface for operators, back ends and clients.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,43 +21,43 @@
 
 use crate::control::handle::ControlHandle;
 use crate::fleet::control_service::ControlMesh;
-use crate::fleet::hub::{Hub, NotSpread};
+use crate::fleet::hub::{Hub, NotReplicated};
 use crate::fleet::listener::{propose, read_catalog};
 use crate::fleet::peer_links::PeerLinks;
 use crate::fleet::wire::{Answer, Question};
 use crate::names;
 
 const LOG: &str = "control";
-/// Time for calls in flight at a planned stop.
-const GRACE: Duration = Duration::from_millis(500);
-/// Longest time that a call waits for a leader and its answer.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
-/// Pause before the leader is asked again.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time for calls in flight to finish at a planned stop.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
+/// Timeout of a call, including the wait for a leader.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay before the leader is asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest body of a call.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Parts of the time of a planned stop: clients may hold a look-up three times as
-/// long as they were told, and requests need time to end.
-const STOP_PARTS: Millis = 3;
-/// Time of a planned stop that is left for requests to end.
+/// Divisor of the time of a planned stop: clients may use a look-up for three times its
+/// lifetime, and requests need time to finish.
+const STOP_TTL_DIVISOR: Millis = 3;
+/// Part of a planned stop that is reserved for requests to finish, in milliseconds.
 const STOP_RESERVE_MS: Millis = 3_000;
-/// Least time for which a look-up holds.
-const LEAST_TTL_MS: Millis = 500;
+/// Minimum lifetime of the answer to a look-up.
+const MIN_TTL_MS: Millis = 500;
 
-/// How long clients may hold the answer to a look-up.
+/// Returns how long clients may use the answer to a look-up, in milliseconds.
 pub fn lookup_ttl(settings: &FleetSettings) -> Millis {
-    let by_stop = settings.bounds.stop.0.saturating_sub(STOP_RESERVE_MS) / STOP_PARTS;
-    by_stop.max(LEAST_TTL_MS).min(settings.bounds.lookup_ttl.0)
+    let by_stop = settings.bounds.stop.0.saturating_sub(STOP_RESERVE_MS) / STOP_TTL_DIVISOR;
+    by_stop.max(MIN_TTL_MS).min(settings.bounds.lookup_ttl.0)
 }
 
-/// The interface of a control process.
+/// HTTP interface of a control process.
 pub struct ControlApi {
     settings: FleetSettings,
     dialect: Arc<dyn Dialect>,
     servers: Mutex<Vec<HttpServer>>,
 }
 
-struct Answering {
+struct ApiHandler {
     mesh: Arc<ControlMesh>,
     control: Arc<ControlHandle>,
     hub: Arc<Hub>,
@@ -68,7 +68,8 @@
 }
 
 impl ControlApi {
-    /// An interface with these settings, worded by `dialect`.
+    /// Creates an interface with these settings that parses calls and formats replies with
+    /// `dialect`.
     pub fn new(settings: FleetSettings, dialect: Arc<dyn Dialect>) -> ControlApi {
         ControlApi {
             settings,
@@ -90,7 +91,7 @@
         let Some(control) = &self.settings.control else {
             return Err(failed(&"the process has no control role"));
         };
-        let answering = Arc::new(Answering {
+        let handler = Arc::new(ApiHandler {
             control: Arc::clone(&mesh.control),
             hub: Arc::clone(&mesh.hub),
             links: Arc::clone(&mesh.links),
@@ -100,12 +101,12 @@
             ttl: lookup_ttl(&self.settings),
         });
         for address in [control.listen, control.lookup_listen] {
-            let answering = Arc::clone(&answering);
+            let handler = Arc::clone(&handler);
             let endpoint = poem::endpoint::make(move |request: Request| {
-                let answering = Arc::clone(&answering);
-                async move { answering.answer(request).await }
+                let handler = Arc::clone(&handler);
+                async move { handler.answer(request).await }
             });
-            let server = HttpServer::start(address, endpoint, GRACE)
+            let server = HttpServer::start(address, endpoint, SHUTDOWN_GRACE)
                 .await
                 .map_err(|error| failed(&error))?;
             self.servers
@@ -155,12 +156,13 @@
     respond(StatusCode::OK, Reply::json(&json!({})))
 }
 
-/// Nothing is known of the outcome, or there is no leader: try again elsewhere.
+/// Answers that the outcome is unknown or that there is no leader: the caller may retry
+/// elsewhere.
 fn unavailable(reason: &str) -> Response {
     refuse(StatusCode::SERVICE_UNAVAILABLE, reason)
 }
 
-impl Answering {
+impl ApiHandler {
     async fn answer(&self, mut request: Request) -> Result<Response, poem::Error> {
         let body = std::mem::replace(&mut request.take_body(), Body::empty());
         let body = match body.into_bytes_limit(MAX_BODY_BYTES).await {
@@ -171,7 +173,7 @@
             .dialect
             .parse(request.method(), request.original_uri(), &body);
         let response = match parsed {
-            Ok(call) => self.carry_out(call).await,
+            Ok(call) => self.execute(call).await,
             Err(error) => {
                 self.mesh.metrics.refused.inc();
                 info!(target: LOG, path = request.original_uri().path(); "a call is refused: {error}");
@@ -181,14 +183,14 @@
         Ok(response)
     }
 
-    async fn carry_out(&self, call: Call) -> Response {
+    async fn execute(&self, call: Call) -> Response {
         match call {
             Call::PatchCatalog(patch) => self.commit(Command::PatchCatalog(patch)).await,
             Call::Evacuate { zone, is_active } => self.evacuate(zone, is_active).await,
             Call::ReadCatalog => self.read().await,
-            Call::Heartbeat(news) => {
+            Call::Heartbeat(update) => {
                 self.mesh.metrics.heartbeats.inc();
-                self.heartbeat_answer(self.hub.heartbeat(news).await)
+                self.heartbeat_answer(self.hub.heartbeat(update).await)
             }
             Call::Deregister { id, born } => {
                 self.heartbeat_answer(self.hub.deregister(&id, born).await)
@@ -198,10 +200,12 @@
         }
     }
 
-    fn heartbeat_answer(&self, result: Result<(), NotSpread>) -> Response {
+    fn heartbeat_answer(&self, result: Result<(), NotReplicated>) -> Response {
         match result {
             Ok(()) => respond(StatusCode::OK, self.dialect.heartbeat_taken(None)),
-            Err(NotSpread) => unavailable("the other control processes don't know of it yet"),
+            Err(NotReplicated) => {
+                unavailable("no majority of the control processes acknowledged it")
+            }
         }
     }
 
@@ -216,28 +220,28 @@
     async fn evacuate(&self, zone: ZoneId, is_active: bool) -> Response {
         if !self.zones.contains_key(&zone) {
             let known: Vec<&str> = self.zones.keys().map(ZoneId::as_str).collect();
-            let reason = format!("zone `{zone}` is not known, allowed: {}", known.join(", "));
+            let reason = format!("unknown zone `{zone}`, allowed: {}", known.join(", "));
             return refuse(StatusCode::NOT_FOUND, reason);
         }
         self.commit(Command::Evacuate { zone, is_active }).await
     }
 
-    /// Commits a command, here or at the leader.
+    /// Commits a command on this replica, or through the leader.
     async fn commit(&self, command: Command) -> Response {
         let started = Instant::now();
-        let give_up = started + CALL_LIMIT;
+        let deadline = started + CALL_TIMEOUT;
         let items = item_count(&command);
         let answer = loop {
-            let answer = self.propose_once(&command, give_up).await;
+            let answer = self.propose_once(&command, deadline).await;
             let is_final = !matches!(answer, Answer::NotLeader);
-            if is_final || Instant::now() + PAUSE >= give_up {
+            if is_final || Instant::now() + RETRY_DELAY >= deadline {
                 break answer;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         };
         info!(target: LOG, took_ms = started.elapsed().as_millis() as u64, items = items,
             answer:? = answer;
-            "an order was answered");
+            "order answered");
         match answer {
             Answer::Command(CommandAnswer::Done) => {
                 self.mesh.metrics.orders.inc();
@@ -248,23 +252,23 @@
             }
             Answer::NotLeader => unavailable("no leader is known"),
             Answer::Unknown(reason) => unavailable(&reason),
-            _ => unavailable("the leader gave no proper answer"),
+            _ => unavailable("unexpected answer from the leader"),
         }
     }
 
-    async fn propose_once(&self, command: &Command, give_up: Instant) -> Answer {
+    async fn propose_once(&self, command: &Command, deadline: Instant) -> Answer {
         if self.control.shared.leading_term().is_some() {
             let proposing = propose(&self.control, command.clone());
-            return match tokio::time::timeout_at(give_up, proposing).await {
+            return match tokio::time::timeout_at(deadline, proposing).await {
                 Ok(answer) => answer,
-                Err(_) => Answer::Unknown("it was not committed in time".to_owned()),
+                Err(_) => Answer::Unknown("not committed before the deadline".to_owned()),
             };
         }
         let Some(leader) = self.leader() else {
             return Answer::NotLeader;
         };
         let question = Question::Propose(command.clone());
-        let left = give_up.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let answer = self.links.ask(leader, question, left).await;
         answer.unwrap_or_else(|| Answer::Unknown("the leader did not answer".to_owned()))
     }
@@ -276,23 +280,23 @@
     }
 
     async fn read(&self) -> Response {
-        let give_up = Instant::now() + CALL_LIMIT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         loop {
-            if let Some(catalog) = self.read_once(give_up).await {
+            if let Some(catalog) = self.read_once(deadline).await {
                 return respond(StatusCode::OK, self.dialect.catalog(&catalog));
             }
-            if Instant::now() + PAUSE >= give_up {
+            if Instant::now() + RETRY_DELAY >= deadline {
                 return unavailable("no leader is known");
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn read_once(&self, give_up: Instant) -> Option<Catalog> {
+    async fn read_once(&self, deadline: Instant) -> Option<Catalog> {
         if let Some(catalog) = read_catalog(&self.control) {
             return Some(catalog);
         }
-        let left = give_up.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let answer = self
             .links
             .ask(self.leader()?, Question::ReadCatalog, left)
@@ -304,7 +308,7 @@
     }
 }
 
-/// Items of the catalog that a command sets or drops.
+/// Returns the number of catalog items that a command sets or removes.
 fn item_count(command: &Command) -> usize {
     match command {
         Command::PatchCatalog(patch) => patch.upserts.len() + patch.removals.len(),
--- a/crates/coursestand-daemon/src/fleet/control_link.rs
+++ b/crates/coursestand-daemon/src/fleet/control_link.rs
@@ -1,9 +1,9 @@
-//! A kept connection of an entry daemon with one control process.
+//! Persistent connection of an entry daemon to one control process.
 //!
-//! A connection may be dead without a sign, or alive behind a link that is full, and
-//! neither tells which. So one whose answer is overdue is kept while a second one is
-//! tried, and whichever says something first is used on. Each try that hears nothing
-//! lets the next one wait longer.
+//! A silent connection may be dead or delayed by a saturated link, and the two look alike. So a
+//! connection whose answer is overdue is kept while a second one is opened, and the first that
+//! delivers a message is used from then on. Each attempt without a message increases the
+//! timeout of the next one.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -27,145 +27,145 @@
 use crate::fleet::wire::{CatalogPart, ToControl, ToEdge, TrailingFlag};
 
 const LOG: &str = "follower";
-/// Pause before a connection that failed is made again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// An answer to a sign of life is overdue after this time where round trips are short.
-/// With signs of life spread over the second, connections that fall silent together are
-/// noticed after 1.2 s at most.
-const OVERDUE: Duration = Duration::from_millis(1_000);
-/// Round trips after which an answer is overdue, where that is longer.
-const OVERDUE_ROUND_TRIPS: u32 = 3;
-/// Longest wait for an answer, whatever the link took before.
-const LONGEST_OVERDUE: Duration = Duration::from_millis(8_000);
-/// Tries after which the limit grows no more: it is the longest by then.
-const MOST_DOUBLINGS: u32 = 3;
-/// A connection whose bytes are not confirmed for this long has ended.
-const LINK_SILENCE: Duration = Duration::from_millis(10_000);
+/// Delay before a failed connection is opened again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Minimum timeout for the answer to a ping. As the pings are spread over a second, the loss of
+/// all connections at once is detected within 1.2 s.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for an answer in round trips, if that is longer.
+const ANSWER_TIMEOUT_ROUND_TRIPS: u32 = 3;
+/// Maximum timeout for an answer, whatever the last round trip took.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// Failed attempts after which the timeout stops doubling: it has reached its maximum.
+const MAX_DOUBLINGS: u32 = 3;
+/// A connection whose bytes are not acknowledged for this long is closed.
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// How long an answer may take.
+/// Timeout for the answer to a ping, which adapts to the link.
 #[derive(Clone, Copy, Debug, Default)]
-struct Patience {
-    /// Newest round trip.
+struct AnswerTimeout {
+    /// The last round trip.
     round_trip: Duration,
-    /// Tries in a row that heard nothing.
-    silent_tries: u32,
+    /// Consecutive attempts without a message.
+    failed_attempts: u32,
 }
 
-impl Patience {
-    fn limit(&self) -> Duration {
-        let usual = OVERDUE.max(self.round_trip * OVERDUE_ROUND_TRIPS);
-        let doublings = self.silent_tries.min(MOST_DOUBLINGS);
-        (usual * 2_u32.pow(doublings)).min(LONGEST_OVERDUE)
+impl AnswerTimeout {
+    fn timeout(&self) -> Duration {
+        let usual = MIN_ANSWER_TIMEOUT.max(self.round_trip * ANSWER_TIMEOUT_ROUND_TRIPS);
+        let doublings = self.failed_attempts.min(MAX_DOUBLINGS);
+        (usual * 2_u32.pow(doublings)).min(MAX_ANSWER_TIMEOUT)
     }
 }
 
-/// A sign of life that was sent.
+/// A ping that was sent.
 #[derive(Clone, Copy, Debug)]
-struct SignOfLife {
+struct SentPing {
     sent_at: Instant,
-    /// The same on the clock of promises, which counts suspensions: what its answer proves
-    /// is as old as this.
-    promised_from: Millis,
+    /// Time of sending on the clock that leases go by, which counts suspensions: what the
+    /// answer proves is as old as this.
+    sent_at_ms: Millis,
 }
 
-/// A connection on which a control process was greeted.
+/// An established connection to a control process.
 struct Session {
     receiver: Receiver<ToEdge>,
     sender: Sender<ToControl>,
     phases: watch::Receiver<EdgePhase>,
-    /// Signs of life that were not answered yet.
-    unanswered: VecDeque<SignOfLife>,
+    /// Pings without an answer so far, oldest first.
+    unanswered: VecDeque<SentPing>,
     next_ping: Instant,
-    heard_at: Instant,
-    /// Changes of the catalog that are on their way in parts.
+    last_received_at: Instant,
+    /// Catalog changes that are being received in parts.
     parts: CatalogParts,
-    /// Newest change of the catalog that the control process knows the daemon has.
-    told_have: u64,
-    /// What this daemon finds out of back ends.
+    /// Newest catalog version that was reported to the control process.
+    reported_version: u64,
+    /// This daemon's findings about back ends.
     findings: broadcast::Receiver<SharedFinding>,
-    /// Whether the control process passes that on.
-    passes_findings: bool,
-    /// What this daemon tells of requests under which back ends ended.
+    /// Whether the control process relays findings.
+    reads_findings: bool,
+    /// Crash records and trial requests of this daemon.
     case_notes: broadcast::Receiver<CaseNote>,
-    /// Whether the control process reads that.
-    reads_cases: bool,
-    /// What this daemon tells of rate limits of back ends.
+    /// Whether the control process accepts crash records.
+    reads_crash_records: bool,
+    /// Rate limits and token requests of this daemon.
     limit_notes: broadcast::Receiver<LimitNote>,
-    /// Whether the control process reads that.
+    /// Whether the control process accepts rate limits.
     reads_limits: bool,
-    /// What is sent next. It stays here until it is, since sending may be broken off: what
-    /// is here does no harm when it is sent twice.
+    /// Messages to send next. A message stays here until it is sent, since sending may be
+    /// cancelled; none of these does harm if it is sent twice.
     outgoing: VecDeque<ToControl>,
 }
 
-/// What a session is run for.
+/// Condition at which an exchange of messages stops.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Until {
-    /// An answer is overdue.
-    Overdue,
-    /// Something is heard.
-    Heard,
+enum StopAt {
+    /// The answer to a ping is overdue.
+    AnswerOverdue,
+    /// A message was received.
+    MessageReceived,
 }
 
-/// Keeps following `control` until it is dropped.
-pub(super) async fn keep_following(follower: Arc<EdgeFollower>, control: SocketAddr) {
+/// Follows `control` until it is dropped.
+pub(super) async fn follow_control(follower: Arc<EdgeFollower>, control: SocketAddr) {
     loop {
-        let mut patience = Patience::default();
+        let mut answer_timeout = AnswerTimeout::default();
         let error = match Session::open(&follower, control).await {
-            Ok(session) => follow(&follower, control, session, &mut patience).await,
+            Ok(session) => follow(&follower, control, session, &mut answer_timeout).await,
             Err(error) => error,
         };
         follower.note_lost(control, &error);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Follows until no connection is left.
+/// Follows `control` until no connection is left, and returns the last error.
 async fn follow(
     follower: &EdgeFollower,
     control: SocketAddr,
     mut session: Session,
-    patience: &mut Patience,
+    answer_timeout: &mut AnswerTimeout,
 ) -> StreamError {
     loop {
-        let overdue = session.exchange(follower, control, patience, Until::Overdue);
-        if let Err(error) = overdue.await {
+        let exchange = session.exchange(follower, control, answer_timeout, StopAt::AnswerOverdue);
+        if let Err(error) = exchange.await {
             return error;
         }
         let started = Instant::now();
-        let limit = patience.limit();
+        let timeout = answer_timeout.timeout();
         tokio::select! {
-            // The old connection knows all that it was told: it goes first. It still
-            // carries signs of life and the daemon's phase.
+            // The old connection is polled first, because it needs no full state. It still
+            // carries pings and the daemon's phase.
             biased;
-            heard = session.exchange(follower, control, patience, Until::Heard) => {
-                if let Err(error) = heard {
+            received = session.exchange(follower, control, answer_timeout, StopAt::MessageReceived) => {
+                if let Err(error) = received {
                     return error;
                 }
             }
-            renewed = Session::open_and_hear(follower, control, limit) => match renewed {
+            renewed = Session::open_and_receive(follower, control, timeout) => match renewed {
                 Ok((renewed, message)) => {
                     info!(target: LOG, control:% = control,
-                        silent_ms = session.heard_at.elapsed().as_millis() as u64,
+                        silent_ms = session.last_received_at.elapsed().as_millis() as u64,
                         took_ms = started.elapsed().as_millis() as u64;
-                        "a connection that fell silent was replaced");
+                        "silent connection replaced");
                     follower.note_renewed(control);
-                    // It has told its first words; whether it is quicker shows at its
-                    // first answer. Without this, a table that takes longer to arrive
-                    // than an answer may is begun anew for ever.
-                    patience.silent_tries += 1;
+                    // Only the first message has arrived; the first answer to a ping shows
+                    // whether the new connection is faster. Without this count, a full state
+                    // that takes longer to arrive than the timeout would be started over for
+                    // ever.
+                    answer_timeout.failed_attempts += 1;
                     session = renewed;
-                    if let Err(error) = session.take(follower, control, message, patience) {
+                    if let Err(error) = session.handle(follower, control, message, answer_timeout) {
                         return error;
                     }
                 }
                 Err(error) => {
-                    patience.silent_tries += 1;
+                    answer_timeout.failed_attempts += 1;
                     info!(target: LOG, control:% = control,
-                        silent_ms = session.heard_at.elapsed().as_millis() as u64,
-                        tries = patience.silent_tries;
-                        "control is silent: {error}");
-                    if session.heard_at.elapsed() > LINK_SILENCE {
+                        silent_ms = session.last_received_at.elapsed().as_millis() as u64,
+                        tries = answer_timeout.failed_attempts;
+                        "no message from the control process: {error}");
+                    if session.last_received_at.elapsed() > CONNECTION_TIMEOUT {
                         return error;
                     }
                 }
@@ -174,7 +174,7 @@
     }
 }
 
-/// The next message, counted by what it tells.
+/// Receives the next message and counts its bytes by kind.
 async fn next_message(
     follower: &EdgeFollower,
     receiver: &mut Receiver<ToEdge>,
@@ -185,34 +185,35 @@
     Ok(message)
 }
 
-/// The message that tells `control` of a rate limit, if it is to hear it.
-fn message_of(note: LimitNote, control: SocketAddr) -> Option<ToControl> {
+/// Returns the message for `control` about a rate limit, unless the note is meant for another
+/// control process.
+fn rate_limit_message(note: LimitNote, control: SocketAddr) -> Option<ToControl> {
     match note {
-        LimitNote::News(news) => Some(ToControl::Limits(vec![news])),
+        LimitNote::News(update) => Some(ToControl::Limits(vec![update])),
         LimitNote::Token {
             to,
             number,
             request,
         } => {
-            let is_meant = to.is_none_or(|issuer| issuer == control);
-            is_meant.then_some(ToControl::AskForToken { number, request })
+            let is_addressee = to.is_none_or(|issuer| issuer == control);
+            is_addressee.then_some(ToControl::RequestToken { number, request })
         }
     }
 }
 
 impl Session {
-    /// Connects and greets.
+    /// Connects and sends the hello message.
     async fn open(follower: &EdgeFollower, control: SocketAddr) -> Result<Session, StreamError> {
         let (receiver, mut sender) = stream::connect::<ToEdge, ToControl>(control).await?;
-        sender.bear_silence(LINK_SILENCE)?;
+        sender.bear_silence(CONNECTION_TIMEOUT)?;
         let mut phases = follower.phases();
         phases.mark_unchanged();
-        let have = follower.catalog().version();
+        let catalog_version = follower.catalog().version();
         let hello = ToControl::EdgeHello {
             record: follower.record(),
-            have,
+            catalog_version,
             reads_findings: TrailingFlag(true),
-            reads_cases: TrailingFlag(true),
+            reads_crash_records: TrailingFlag(true),
             reads_limits: TrailingFlag(true),
         };
         sender.send(&hello).await?;
@@ -223,62 +224,61 @@
             phases,
             unanswered: VecDeque::new(),
             next_ping: now,
-            heard_at: now,
+            last_received_at: now,
             parts: CatalogParts::default(),
-            told_have: have,
+            reported_version: catalog_version,
             findings: follower.findings(),
-            passes_findings: false,
+            reads_findings: false,
             case_notes: follower.case_notes(),
-            reads_cases: false,
+            reads_crash_records: false,
             limit_notes: follower.limit_notes(),
             reads_limits: false,
             outgoing: VecDeque::new(),
         })
     }
 
-    /// Connects, greets, and waits `limit` for a first message.
-    async fn open_and_hear(
+    /// Opens a session and waits up to `timeout` for its first message.
+    async fn open_and_receive(
         follower: &EdgeFollower,
         control: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Session, ToEdge), StreamError> {
         let mut session = Session::open(follower, control).await?;
-        let hearing = next_message(follower, &mut session.receiver);
-        let message = match tokio::time::timeout(limit, hearing).await {
+        let receiving = next_message(follower, &mut session.receiver);
+        let message = match tokio::time::timeout(timeout, receiving).await {
             Ok(message) => message?,
             Err(_) => {
-                let limit_ms = limit.as_millis();
+                let limit_ms = timeout.as_millis();
                 return Err(StreamError::Silent { limit_ms });
             }
         };
         Ok((session, message))
     }
 
-    /// Carries messages both ways until what it is run for, or until the connection
-    /// fails.
+    /// Sends and receives messages until the condition `stop_at` or until the connection fails.
     async fn exchange(
         &mut self,
         follower: &EdgeFollower,
         control: SocketAddr,
-        patience: &mut Patience,
-        until: Until,
+        answer_timeout: &mut AnswerTimeout,
+        stop_at: StopAt,
     ) -> Result<(), StreamError> {
         let mut probes = FuturesUnordered::new();
         loop {
             self.send_outgoing().await?;
-            let overdue_at = match until {
-                Until::Overdue => self.overdue_at(patience.limit()),
-                Until::Heard => None,
+            let overdue_at = match stop_at {
+                StopAt::AnswerOverdue => self.overdue_at(answer_timeout.timeout()),
+                StopAt::MessageReceived => None,
             };
             tokio::select! {
-                // A message that waits counts before the time that went by without it,
-                // as when this process stood still.
+                // A message that was received counts before the time that passed without one,
+                // as after a suspension of this process.
                 biased;
                 message = next_message(follower, &mut self.receiver) => match message? {
                     ToEdge::Probe(suspect) => probes.push(follower.prober().find_ready(suspect)),
                     message => {
-                        self.take(follower, control, message, patience)?;
-                        if until == Until::Heard {
+                        self.handle(follower, control, message, answer_timeout)?;
+                        if stop_at == StopAt::MessageReceived {
                             return Ok(());
                         }
                     }
@@ -289,26 +289,27 @@
                     }
                     self.sender.send(&ToControl::Edge(follower.record())).await?;
                 }
-                found = self.findings.recv(), if self.passes_findings => {
-                    // What a slow connection missed goes by the others.
+                found = self.findings.recv(), if self.reads_findings => {
+                    // Findings that a slow connection misses are sent on the other connections.
                     if let Ok(found) = found {
                         self.outgoing.push_back(ToControl::Findings(vec![found]));
                     }
                 }
-                note = self.case_notes.recv(), if self.reads_cases => match note {
-                    Ok(CaseNote::Trial(case)) => {
-                        self.outgoing.push_back(ToControl::AskForTrial(case));
+                note = self.case_notes.recv(), if self.reads_crash_records => match note {
+                    Ok(CaseNote::Trial(record)) => {
+                        self.outgoing.push_back(ToControl::RequestTrial(record));
                     }
-                    Ok(CaseNote::Known(case)) => {
-                        self.outgoing.push_back(ToControl::Cases(vec![case]));
+                    Ok(CaseNote::Known(record)) => {
+                        self.outgoing.push_back(ToControl::CrashRecords(vec![record]));
                     }
-                    // A slow connection missed some: whoever asked is refused for now.
+                    // A slow connection missed some: the requests for a trial are refused for
+                    // now.
                     Err(_) => {}
                 },
                 note = self.limit_notes.recv(), if self.reads_limits => {
-                    // A slow connection missed some: whoever asked goes without a token.
+                    // A slow connection missed some: the requests for a token go without one.
                     if let Ok(note) = note {
-                        self.outgoing.extend(message_of(note, control));
+                        self.outgoing.extend(rate_limit_message(note, control));
                     }
                 }
                 Some(found) = probes.next(), if !probes.is_empty() => {
@@ -325,10 +326,10 @@
         }
     }
 
-    /// When an answer is overdue, if one is waited for.
-    fn overdue_at(&self, limit: Duration) -> Option<Instant> {
+    /// Returns when the oldest answer is overdue, or `None` if no ping is unanswered.
+    fn overdue_at(&self, timeout: Duration) -> Option<Instant> {
         let oldest = self.unanswered.front()?;
-        Some(oldest.sent_at.max(self.heard_at) + limit)
+        Some(oldest.sent_at.max(self.last_received_at) + timeout)
     }
 
     async fn send_outgoing(&mut self) -> Result<(), StreamError> {
@@ -345,84 +346,95 @@
         control: SocketAddr,
     ) -> Result<(), StreamError> {
         let now = Instant::now();
-        self.unanswered.push_back(SignOfLife {
+        self.unanswered.push_back(SentPing {
             sent_at: now,
-            promised_from: follower.now(),
+            sent_at_ms: follower.now(),
         });
         self.next_ping = now + Duration::from_millis(follower.next_ping_in_ms(control));
-        let have = follower.catalog().version();
-        if have > self.told_have {
-            self.told_have = have;
-            self.outgoing.push_back(ToControl::Have(have));
+        let version = follower.catalog().version();
+        if version > self.reported_version {
+            self.reported_version = version;
+            self.outgoing.push_back(ToControl::HaveCatalog(version));
         }
         self.send_outgoing().await?;
-        // Never sent twice: an answer too many would pass for that to a later one, and
-        // the catalog for newer than it is proven to be.
+        // Never sent twice: a surplus answer would be matched to a later ping and prove the
+        // catalog newer than it is.
         let ping = ToControl::EdgePing(follower.link_use());
         self.sender.send(&ping).await
     }
 
-    fn take(
+    fn handle(
         &mut self,
         follower: &EdgeFollower,
         control: SocketAddr,
         message: ToEdge,
-        patience: &mut Patience,
+        answer_timeout: &mut AnswerTimeout,
     ) -> Result<(), StreamError> {
-        self.heard_at = Instant::now();
-        let had = follower.catalog().version();
+        self.last_received_at = Instant::now();
+        let version_before = follower.catalog().version();
         match message {
             ToEdge::Pong { reach, catalog } => {
                 if let Some(answered) = self.unanswered.pop_front() {
-                    patience.silent_tries = 0;
-                    patience.round_trip = answered.sent_at.elapsed();
-                    let asked_at = answered.promised_from;
-                    follower.note_pong(control, patience.round_trip, asked_at, reach, catalog);
+                    answer_timeout.failed_attempts = 0;
+                    answer_timeout.round_trip = answered.sent_at.elapsed();
+                    let asked_at = answered.sent_at_ms;
+                    follower.note_pong(
+                        control,
+                        answer_timeout.round_trip,
+                        asked_at,
+                        reach,
+                        catalog,
+                    );
                 }
             }
-            ToEdge::CatalogPart(part) => self.take_part(follower, control, part)?,
+            ToEdge::CatalogPart(part) => self.handle_catalog_part(follower, control, part)?,
             ToEdge::Findings(findings) => {
-                self.passes_findings = true;
-                follower.take_findings(&findings);
+                self.reads_findings = true;
+                follower.apply_findings(&findings);
             }
-            ToEdge::Cases(cases) => {
-                follower.take_cases(&cases);
-                if !self.reads_cases {
-                    self.reads_cases = true;
-                    // A control process that has started knows nothing but by its daemons.
-                    let known = follower.told_cases();
-                    self.outgoing.push_back(ToControl::Cases(known));
+            ToEdge::CrashRecords(records) => {
+                follower.apply_crash_records(&records);
+                if !self.reads_crash_records {
+                    self.reads_crash_records = true;
+                    // A control process that has restarted has only the crash records that
+                    // daemons send it.
+                    let records = follower.crash_records();
+                    self.outgoing.push_back(ToControl::CrashRecords(records));
                 }
             }
-            ToEdge::Trial(verdict) => follower.take_verdict(verdict),
+            ToEdge::Trial(verdict) => follower.apply_trial_verdict(verdict),
             ToEdge::Limits(limits) => {
                 follower.state().adopt_limits(&limits);
                 if !self.reads_limits {
                     self.reads_limits = true;
-                    let known = follower.state().told_limits();
-                    self.outgoing.push_back(ToControl::Limits(known));
+                    let limits = follower.state().told_limits();
+                    self.outgoing.push_back(ToControl::Limits(limits));
                 }
             }
             ToEdge::Token { number, verdict } => {
                 let state = follower.state();
                 state.take_token_verdict(control, number, &verdict);
             }
-            message => follower.take(control, message),
+            message => follower.apply(control, message),
         }
-        let has = follower.catalog().version();
-        if follower.phase() == EdgePhase::Starting && has > had {
-            // The answer tells whether there is anything newer: the daemon waits for it.
-            self.next_ping = self.heard_at;
+        let version_after = follower.catalog().version();
+        if follower.phase() == EdgePhase::Starting && version_after > version_before {
+            // The daemon waits for the answer, which says whether there are newer changes.
+            self.next_ping = self.last_received_at;
         }
-        if follower.catalog().should_fetch(control, patience.limit()) {
-            self.outgoing.push_back(ToControl::FetchCatalog(has));
+        if follower
+            .catalog()
+            .should_fetch(control, answer_timeout.timeout())
+        {
+            self.outgoing
+                .push_back(ToControl::FetchCatalog(version_after));
         }
         Ok(())
     }
 
-    /// Takes a part of the catalog in, and asks for the next one. What another control
-    /// process has told meanwhile is asked for no further.
-    fn take_part(
+    /// Adds a part of catalog changes and requests the next one, unless another control process
+    /// has already delivered these changes.
+    fn handle_catalog_part(
         &mut self,
         follower: &EdgeFollower,
         control: SocketAddr,
@@ -433,10 +445,10 @@
             return Ok(());
         }
         follower.catalog().note_part(control);
-        let whole = self.parts.take(part);
-        match whole.map_err(|source| StreamError::Message { source })? {
-            Some(message) => follower.take(control, message),
-            None => self.outgoing.push_back(ToControl::PartTaken(version)),
+        let message = self.parts.add(part);
+        match message.map_err(|source| StreamError::Message { source })? {
+            Some(message) => follower.apply(control, message),
+            None => self.outgoing.push_back(ToControl::PartReceived(version)),
         }
         Ok(())
     }
--- a/crates/coursestand-daemon/src/fleet/control_service.rs
+++ b/crates/coursestand-daemon/src/fleet/control_service.rs
@@ -1,5 +1,5 @@
-//! The control role of a fleet: the replica, the hub of the soft state, and the
-//! connections to the other control processes and to entry daemons.
+//! The control role of a fleet process: the replica, the hub of the soft state, and the
+//! connections to other control processes and entry daemons.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -20,21 +20,21 @@
 use crate::control::shared::ControlShared;
 use crate::fleet::formation::{Formation, FormationRules};
 use crate::fleet::hub::Hub;
-use crate::fleet::listener::{Serving, accept};
+use crate::fleet::listener::{ConnectionContext, accept};
 use crate::fleet::metrics::{ControlCounts, ControlMetrics};
-use crate::fleet::peer_links::{MeshPeers, PeerLinks};
+use crate::fleet::peer_links::{PeerLinkSender, PeerLinks};
 use crate::names;
 
-/// Time between two rounds of the hub's regular work.
-const HUB_ROUND: Duration = Duration::from_secs(1);
-/// Longest wait for another replica to take over the leadership.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time between two rounds of the hub's periodic work.
+const HUB_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for another replica to take over the leadership.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Handles of the control role for the other services.
+/// Components of the control role for other services.
 pub struct ControlMesh {
-    /// The replica.
+    /// Handle of the replica.
     pub control: Arc<ControlHandle>,
-    /// The soft state.
+    /// Soft state of back ends and entry daemons.
     pub hub: Arc<Hub>,
     /// Connections to the other control processes.
     pub links: Arc<PeerLinks>,
@@ -48,12 +48,12 @@
         let shared = &self.control.shared;
         self.metrics.update(&ControlCounts {
             status: shared.status(),
-            leads: shared.leading_term().is_some(),
+            is_leader: shared.leading_term().is_some(),
             catalog: shared.state().catalog().version(),
             ready,
             draining,
             edges,
-            limited: self.hub.limited_backends(),
+            rate_limited_backends: self.hub.limited_backends(),
         });
     }
 }
@@ -69,7 +69,7 @@
 }
 
 impl FleetControl {
-    /// A control role with these settings; the seeds may change.
+    /// Creates a control role with these settings; the seeds may change later.
     pub fn new(
         settings: FleetSettings,
         clock: MonotonicClock,
@@ -94,7 +94,7 @@
 
     fn formation(&self, control: &Arc<ControlHandle>, hub: &Arc<Hub>) -> Arc<Formation> {
         let rules = FormationRules {
-            own: self.settings.internal_address(),
+            local_address: self.settings.internal_address(),
             bootstrap: self.settings.bootstrap,
             lost_disks: self.settings.bounds.lost_disks,
         };
@@ -119,15 +119,15 @@
         let Some(role) = &self.settings.control else {
             return Err(failed(&"the process has no control role"));
         };
-        let own = self.settings.internal_address();
-        let listener = TcpListener::bind(own)
+        let local_address = self.settings.internal_address();
+        let listener = TcpListener::bind(local_address)
             .await
-            .map_err(|error| failed(&format!("cannot listen on {own}: {error}")))?;
+            .map_err(|error| failed(&format!("cannot listen on {local_address}: {error}")))?;
         let heartbeat = self.settings.bounds.heartbeat.0;
-        let hub = Arc::new(Hub::new(own, self.clock, heartbeat));
+        let hub = Arc::new(Hub::new(local_address, self.clock, heartbeat));
         let snapshot_hub = Arc::clone(&hub);
         let links = Arc::new(PeerLinks::new(
-            own,
+            local_address,
             Arc::new(move || snapshot_hub.snapshot()),
             Arc::clone(&self.tasks),
         ));
@@ -136,7 +136,7 @@
         let control = Arc::new(ControlHandle::new(Arc::clone(&shared), events));
         let driver = Driver::open(
             shared,
-            Box::new(MeshPeers(Arc::clone(&links))),
+            Box::new(PeerLinkSender(Arc::clone(&links))),
             role.data_folder.clone(),
             self.settings.bounds.lost_disks + 1,
         )
@@ -146,14 +146,14 @@
             .spawn(move || driver.run(&incoming))
             .map_err(|error| failed(&error))?;
         let formation = self.formation(&control, &hub);
-        hub.connect(Arc::clone(&links));
-        formation.connect(Arc::clone(&links));
-        let serving = Arc::new(Serving {
+        hub.set_links(Arc::clone(&links));
+        formation.set_links(Arc::clone(&links));
+        let context = Arc::new(ConnectionContext {
             control: Arc::clone(&control),
             hub: Arc::clone(&hub),
             formation: Arc::clone(&formation),
         });
-        let accepting = accept(listener, serving, Arc::clone(&self.tasks));
+        let accepting = accept(listener, context, Arc::clone(&self.tasks));
         self.tasks.start(accepting);
         self.tasks.start(formation.run());
         let metrics = ControlMetrics::new(registry.metrics()).map_err(|error| failed(&error))?;
@@ -163,26 +163,26 @@
             links,
             metrics,
         });
-        self.tasks.start(run_rounds(Arc::clone(&mesh)));
+        self.tasks.start(run_periodic_work(Arc::clone(&mesh)));
         registry.publish(names::HUB, Arc::clone(&mesh));
         *self.mesh.lock().unwrap_or_else(PoisonError::into_inner) = Some(mesh);
         *self.driver.lock().unwrap_or_else(PoisonError::into_inner) = Some(thread);
         Ok(())
     }
 
-    /// A leader hands its leadership over before it stops.
+    /// Hands the leadership over before the process stops.
     async fn drain(&self) {
-        const LOOK: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         let Some(mesh) = self.mesh() else {
             return;
         };
         let started = Instant::now();
-        let leads = mesh.control.shared.leading_term().is_some();
-        if leads && mesh.control.deliver(Event::HandOver).is_ok() {
+        let is_leader = mesh.control.shared.leading_term().is_some();
+        if is_leader && mesh.control.deliver(Event::HandOver).is_ok() {
             while mesh.control.shared.status().role == "leader"
-                && started.elapsed() < HAND_OVER_LIMIT
+                && started.elapsed() < HAND_OVER_TIMEOUT
             {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -190,7 +190,7 @@
     async fn stop(&self) {
         self.tasks.abort();
         if let Some(mesh) = self.mesh() {
-            // A driver that stopped by itself takes no events.
+            // Fails only if the driver has stopped by itself.
             let _ = mesh.control.deliver(Event::Stop);
         }
         let driver = self
@@ -214,8 +214,8 @@
             "leading_term": mesh.control.shared.leading_term(),
             "catalog_version": catalog_version,
             "soft_state": mesh.hub.dump(),
-            "requests_that_end_back_ends": mesh.hub.case_views(),
-            "rate_limits": mesh.hub.token_views(),
+            "requests_that_end_back_ends": mesh.hub.crash_record_views(),
+            "rate_limits": mesh.hub.token_bucket_views(),
         })
     }
 
@@ -226,16 +226,16 @@
         match leader {
             Some(_) => Health::Ready,
             None => Health::NotReady {
-                reason: "knows no leader".to_owned(),
+                reason: "no leader is known".to_owned(),
             },
         }
     }
 }
 
-async fn run_rounds(mesh: Arc<ControlMesh>) {
+async fn run_periodic_work(mesh: Arc<ControlMesh>) {
     loop {
         mesh.update_metrics();
-        tokio::time::sleep(HUB_ROUND).await;
+        tokio::time::sleep(HUB_INTERVAL).await;
         mesh.hub.tick();
         mesh.hub.note_lease(mesh.control.shared.leading_term());
     }
--- a/crates/coursestand-daemon/src/fleet/edge_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_follower.rs
@@ -1,5 +1,5 @@
-//! Follows the control processes: keeps connections to a majority of them, and
-//! feeds what they tell into the beliefs of the entry daemon.
+//! Follows the control processes: maintains connections to a majority of them, and applies what
+//! they send to the state of the entry daemon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,52 +22,53 @@
 
 use crate::control::shared::LogReach;
 use crate::fleet::catalog_follower::CatalogFollower;
-use crate::fleet::control_link::keep_following;
+use crate::fleet::control_link::follow_control;
 use crate::fleet::follower_metrics::FollowerMetrics;
 use crate::fleet::prober::Prober;
 use crate::fleet::wire::{ControlGroup, ToEdge};
 
 const LOG: &str = "follower";
-/// Control processes up to which all are followed.
-const FOLLOW_ALL: usize = 5;
-/// Time between two signs of life to one control process.
-const PING_MS: Millis = 1_000;
-/// The same while the daemon starts: it is ready at the answer that follows the newest
+/// Up to this number of control processes, all of them are followed.
+const MAX_FULLY_FOLLOWED_CONTROLS: usize = 5;
+/// Time between two pings to one control process.
+const PING_INTERVAL_MS: Millis = 1_000;
+/// Ping interval while the daemon starts: it becomes ready at the first answer after the newest
 /// commit.
-const STARTING_PING_MS: Millis = 150;
-/// A control process counts as connected for this long after a sign of life was sent
-/// that it answered. Fixed, whatever the link takes: others take cold back ends over by it.
-const CONNECTED_MS: Millis = 2_500;
-/// A daemon that starts is ready by a proof of its catalog of this age at most: longer
-/// than the slowest round trip that was measured on a full link, 1.9 s, twice.
-const PROOF_LIFETIME_MS: Millis = 5_000;
-/// A daemon that starts waits this long, once its catalog is proven, for the lists of the
-/// group that most seeds tell: the first list heard may be that of a process that was cut
-/// off long ago, and prove an old catalog by itself. Longer than a connection and a round
-/// trip between the farthest regions take, and what it costs where seeds are down.
-const SEEDS_GRACE_MS: Millis = 1_000;
-/// Time in which news of a lost daemon arrives at all others: changes are told at
-/// most every 200 ms, over the ways between the farthest regions.
-const NEWS_LAG: Duration = Duration::from_millis(1_000);
-/// Time after which a daemon that was cut off owns no cold back end any more.
-pub const HAND_OVER_MS: Millis = CONNECTED_MS + NEWS_LAG.as_millis() as Millis;
-/// A round trip to control that takes longer is logged: changes come as late.
+const STARTING_PING_INTERVAL_MS: Millis = 150;
+/// A control process counts as connected for this long after the newest ping that it answered
+/// was sent. The time does not depend on the link, because other daemons take over
+/// cold back ends when it is over.
+const CONNECTION_LEASE_MS: Millis = 2_500;
+/// Maximum age of the proof of the newest catalog at which a starting daemon becomes ready:
+/// more than twice the round trip of 1.9 s that a full link can take.
+const MAX_PROOF_AGE_MS: Millis = 5_000;
+/// Time that a starting daemon waits, once its catalog is proven, for the member lists of most
+/// seeds. The first list may come from a process that has been partitioned for long and that
+/// proves an outdated catalog by itself. The time exceeds a connection and a round trip between
+/// the farthest regions, and delays the start where seeds are down.
+const SEED_LISTS_WAIT_MS: Millis = 1_000;
+/// Time until all other daemons learn that a daemon was lost: changes are sent at most every
+/// 200 ms, with the latency between the farthest regions.
+const EDGE_CHANGE_LAG: Duration = Duration::from_millis(1_000);
+/// Time after which a daemon that was partitioned owns no cold back ends.
+pub const HAND_OVER_MS: Millis = CONNECTION_LEASE_MS + EDGE_CHANGE_LAG.as_millis() as Millis;
+/// Longer round trips to a control process are logged: changes are delayed by as much.
 const SLOW_ROUND_TRIP: Duration = Duration::from_millis(500);
-/// Time between two looks at which control processes to follow.
-const ROUND: Duration = Duration::from_millis(500);
+/// Time between two checks of which control processes to follow.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is known of one control process.
+/// State of the connection with one control process.
 #[derive(Clone, Debug, Default)]
-struct Followed {
-    /// When the newest sign of life was sent that it answered on the present connection.
+struct FollowedControl {
+    /// When the newest ping that was answered on the current connection was sent.
     answered_at: Option<Millis>,
     edges: BTreeSet<String>,
 }
 
-impl Followed {
+impl FollowedControl {
     fn is_connected(&self, now: Millis) -> bool {
         self.answered_at
-            .is_some_and(|answered_at| now.saturating_sub(answered_at) < CONNECTED_MS)
+            .is_some_and(|answered_at| now.saturating_sub(answered_at) < CONNECTION_LEASE_MS)
     }
 }
 
@@ -76,33 +77,33 @@
     state: Arc<EdgeState>,
     record: EdgeRecord,
     phase: watch::Sender<EdgePhase>,
-    /// Use of this machine's link, told with each sign of life.
+    /// Utilization of this machine's link, sent with each ping.
     link_use: AtomicU8,
     seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Control processes as the group itself tells.
+    /// Members of the control group, as the group itself reports them.
     controls: Mutex<BTreeSet<SocketAddr>>,
     catalog: CatalogFollower,
     metrics: FollowerMetrics,
-    /// Told how long round trips to control processes take.
+    /// Receives the round trip times to control processes.
     link: Arc<LinkWatch>,
-    followed: Mutex<BTreeMap<SocketAddr, Followed>>,
-    /// What a daemon that starts waits for.
+    followed_controls: Mutex<BTreeMap<SocketAddr, FollowedControl>>,
+    /// Progress of a starting daemon.
     starting: Mutex<Starting>,
-    news: Notify,
+    changed: Notify,
     prober: Prober,
 }
 
-/// How far a daemon that starts is.
+/// Progress of a starting daemon.
 #[derive(Debug, Default)]
 struct Starting {
-    /// Control processes that told the group.
-    listed: BTreeSet<SocketAddr>,
+    /// Control processes that have sent a member list.
+    lists_received_from: BTreeSet<SocketAddr>,
     /// When the catalog was first proven to be the newest.
     proven_since: Option<Millis>,
 }
 
 impl EdgeFollower {
-    /// A follower for the daemon that `record` describes.
+    /// Creates a follower for the daemon that `record` describes.
     pub fn new(
         state: Arc<EdgeState>,
         record: EdgeRecord,
@@ -120,64 +121,66 @@
             controls: Mutex::default(),
             metrics,
             link,
-            followed: Mutex::default(),
+            followed_controls: Mutex::default(),
             starting: Mutex::default(),
-            news: Notify::new(),
+            changed: Notify::new(),
             prober: Prober::default(),
         }
     }
 
-    /// Where this daemon is in its life.
+    /// Returns the lifecycle phase of this daemon.
     pub fn phase(&self) -> EdgePhase {
         *self.phase.borrow()
     }
 
-    /// The daemon is in this phase from now on, and tells so.
+    /// Advances the daemon to a later phase and announces it; earlier phases are ignored.
     pub fn set_phase(&self, phase: EdgePhase) {
-        self.phase.send_if_modified(|known| {
-            let moves_on = phase > *known;
-            if moves_on {
-                *known = phase;
+        self.phase.send_if_modified(|current| {
+            let is_later = phase > *current;
+            if is_later {
+                *current = phase;
             }
-            moves_on
+            is_later
         });
     }
 
-    /// This much of the machine's link is used from now on.
+    /// Sets the utilization of the machine's link.
     pub fn set_link_use(&self, link_use: LinkUse) {
         self.link_use.store(link_use, Ordering::Relaxed);
     }
 
-    fn followed(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Followed>> {
-        self.followed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn followed_controls(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, FollowedControl>> {
+        self.followed_controls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When the next sign of life to `control` is due, in milliseconds. Those to the
-    /// control processes are spread evenly, so that connections which fall silent
-    /// together are noticed by the first of them.
+    /// Returns the time until the next ping to `control` in milliseconds. The pings to the
+    /// control processes are spread evenly, so that the loss of all connections at once is
+    /// detected by the first of them.
     pub(super) fn next_ping_in_ms(&self, control: SocketAddr) -> Millis {
         if self.phase() == EdgePhase::Starting {
-            return STARTING_PING_MS;
+            return STARTING_PING_INTERVAL_MS;
         }
         let controls = self.controls();
-        let place = controls.iter().position(|known| *known == control);
-        let place = place.unwrap_or(0) as Millis;
-        let offset = PING_MS * place / controls.len().max(1) as Millis;
-        let since = (self.state.now() + PING_MS - offset) % PING_MS;
-        PING_MS - since
+        let position = controls.iter().position(|address| *address == control);
+        let position = position.unwrap_or(0) as Millis;
+        let offset = PING_INTERVAL_MS * position / controls.len().max(1) as Millis;
+        let since = (self.state.now() + PING_INTERVAL_MS - offset) % PING_INTERVAL_MS;
+        PING_INTERVAL_MS - since
     }
 
-    /// What is told with the next sign of life.
+    /// Returns the link utilization for the next ping.
     pub(super) fn link_use(&self) -> LinkUse {
         self.link_use.load(Ordering::Relaxed)
     }
 
-    /// The daemon's phase, as it changes.
+    /// Watches the daemon's phase.
     pub(super) fn phases(&self) -> watch::Receiver<EdgePhase> {
         self.phase.subscribe()
     }
 
-    /// The daemon's copy of the catalog.
+    /// Returns the daemon's copy of the catalog.
     pub(super) fn catalog(&self) -> &CatalogFollower {
         &self.catalog
     }
@@ -194,19 +197,20 @@
         self.controls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub fn update_metrics(&self) {
         self.metrics
-            .update(self.followed_count(), self.catalog.age_ms());
+            .update(self.connected_count(), self.catalog.age_ms());
     }
 
-    /// The clock of promises, in milliseconds.
+    /// Returns the time of the clock that leases go by, in milliseconds; it counts suspensions
+    /// of the machine.
     pub(super) fn now(&self) -> Millis {
         self.state.now()
     }
 
-    /// A control process answered the sign of life that was sent at `asked_at`. The round
-    /// trip doesn't count suspensions of the machine, so it doesn't tell that moment.
+    /// Records the answer to the ping sent at `asked_at`. That time is passed separately
+    /// because the round trip does not include suspensions of the machine.
     pub(super) fn note_pong(
         &self,
         control: SocketAddr,
@@ -220,102 +224,104 @@
         let round_trip_ms = round_trip.as_millis() as Millis;
         if round_trip > SLOW_ROUND_TRIP {
             info!(target: LOG, control:% = control, round_trip_ms = round_trip_ms,
-                catalog_age_ms = self.catalog.age_ms(); "control answered late");
+                catalog_age_ms = self.catalog.age_ms(); "slow answer from a control process");
         }
         let now = self.state.now();
-        self.catalog.note_told(control, catalog);
+        self.catalog.note_version(control, catalog);
         if let Some(reach) = reach {
             self.catalog.note_reach(control, asked_at, reach, catalog);
         }
-        self.note_answered(control, now, asked_at);
+        self.note_connected(control, now, asked_at);
         self.become_ready();
     }
 
-    fn note_answered(&self, control: SocketAddr, now: Millis, asked_at: Millis) {
-        let is_news = {
-            let mut followed = self.followed();
-            let one = followed.entry(control).or_default();
-            let was_connected = one.is_connected(now);
-            one.answered_at = one.answered_at.max(Some(asked_at));
-            one.is_connected(now) != was_connected
+    fn note_connected(&self, control: SocketAddr, now: Millis, asked_at: Millis) {
+        let has_changed = {
+            let mut followed_controls = self.followed_controls();
+            let connection = followed_controls.entry(control).or_default();
+            let was_connected = connection.is_connected(now);
+            connection.answered_at = connection.answered_at.max(Some(asked_at));
+            connection.is_connected(now) != was_connected
         };
-        if is_news {
-            info!(target: LOG, control:% = control, followed = self.followed_count();
+        if has_changed {
+            info!(target: LOG, control:% = control, followed = self.connected_count();
                 "control process followed");
             self.merge_edges();
         }
     }
 
-    /// A connection was lost, and with it what it told of the fleet.
+    /// Records that a connection was lost, and drops the state that was received on it.
     pub(super) fn note_lost(&self, control: SocketAddr, error: &StreamError) {
         self.catalog.forget(control);
         let was_connected = {
-            let mut followed = self.followed();
-            let before = followed.insert(control, Followed::default());
-            before.is_some_and(|one| one.answered_at.is_some())
+            let mut followed_controls = self.followed_controls();
+            let before = followed_controls.insert(control, FollowedControl::default());
+            before.is_some_and(|connection| connection.answered_at.is_some())
         };
-        self.update_following();
+        self.update_is_following();
         if was_connected {
-            info!(target: LOG, control:% = control, followed = self.followed_count(),
+            info!(target: LOG, control:% = control, followed = self.connected_count(),
                 catalog = self.catalog.version(),
                 catalog_age_ms = self.catalog.age_ms();
                 "control process lost: {error}");
             self.metrics.lost.inc();
-            self.news.notify_one();
+            self.changed.notify_one();
         }
     }
 
-    /// A new connection tells the fleet from its beginning.
+    /// Records that a connection was replaced; the new one starts with the full state.
     pub(super) fn note_renewed(&self, control: SocketAddr) {
         self.catalog.forget(control);
-        self.followed().insert(control, Followed::default());
-        self.update_following();
+        self.followed_controls()
+            .insert(control, FollowedControl::default());
+        self.update_is_following();
     }
 
-    /// Follows until it is dropped.
+    /// Runs until it is dropped.
     pub async fn run(self: Arc<Self>) {
-        let mut links: BTreeMap<SocketAddr, Link> = BTreeMap::new();
+        let mut tasks: BTreeMap<SocketAddr, FollowTask> = BTreeMap::new();
         loop {
-            let wanted = self.wanted();
-            links.retain(|address, _| wanted.contains(address));
-            self.followed()
-                .retain(|address, _| wanted.contains(address));
-            for address in wanted {
-                links.entry(address).or_insert_with(|| {
-                    Link(tokio::spawn(keep_following(Arc::clone(&self), address)))
+            let controls_to_follow = self.controls_to_follow();
+            tasks.retain(|address, _| controls_to_follow.contains(address));
+            self.followed_controls()
+                .retain(|address, _| controls_to_follow.contains(address));
+            for address in controls_to_follow {
+                tasks.entry(address).or_insert_with(|| {
+                    FollowTask(tokio::spawn(follow_control(Arc::clone(&self), address)))
                 });
             }
-            self.update_following();
-            // Either news or the end of the pause.
-            let _ = tokio::time::timeout(ROUND, self.news.notified()).await;
+            self.update_is_following();
+            // Woken by a change or the end of the interval.
+            let _ = tokio::time::timeout(CHECK_INTERVAL, self.changed.notified()).await;
         }
     }
 
-    /// The control processes to follow: all of a few; of many a majority, so
-    /// that every order a majority knows reaches this daemon directly.
-    fn wanted(&self) -> BTreeSet<SocketAddr> {
+    /// Returns the control processes to follow: all if they are few, otherwise a majority, so
+    /// that every order that a majority has reaches this daemon directly.
+    fn controls_to_follow(&self) -> BTreeSet<SocketAddr> {
         let controls = self.controls().clone();
         if controls.is_empty() {
             return self.seeds.borrow().iter().copied().collect();
         }
-        let mut wanted: Vec<SocketAddr> = controls.iter().copied().collect();
-        if wanted.len() > FOLLOW_ALL {
-            let own = hash_of(&self.record.name);
-            wanted.sort_by_key(|address| combine(own, hash_of(&address.to_string())));
-            wanted.truncate(controls.len() / 2 + 1);
+        let mut controls_to_follow: Vec<SocketAddr> = controls.iter().copied().collect();
+        if controls_to_follow.len() > MAX_FULLY_FOLLOWED_CONTROLS {
+            let daemon_hash = hash_of(&self.record.name);
+            controls_to_follow
+                .sort_by_key(|address| combine(daemon_hash, hash_of(&address.to_string())));
+            controls_to_follow.truncate(controls.len() / 2 + 1);
         }
-        let mut wanted: BTreeSet<SocketAddr> = wanted.into_iter().collect();
-        // With none of them connected, the seeds may know the present group; while the
-        // daemon starts, a newer one than was told first.
-        let is_alone = self.followed_count() == 0;
-        if is_alone || self.phase() == EdgePhase::Starting {
-            wanted.extend(self.seeds.borrow().iter().copied());
+        let mut controls_to_follow: BTreeSet<SocketAddr> = controls_to_follow.into_iter().collect();
+        // Without any connection, the seeds may know the current group; while the daemon
+        // starts, they may know a newer one than it has received.
+        let is_disconnected = self.connected_count() == 0;
+        if is_disconnected || self.phase() == EdgePhase::Starting {
+            controls_to_follow.extend(self.seeds.borrow().iter().copied());
         }
-        wanted
+        controls_to_follow
     }
 
-    /// Ready once the catalog is proven to hold every acknowledged change. Answers of
-    /// a majority alone would not do: what one of them has applied may be older.
+    /// Becomes ready once the catalog is proven to hold every acknowledged change. Answers of a
+    /// majority alone are not enough: what one of them has applied may be older.
     fn become_ready(&self) {
         if self.phase() != EdgePhase::Starting || self.catalog.is_empty() {
             return;
@@ -323,8 +329,8 @@
         let is_newest = self
             .catalog
             .age_ms()
-            .is_some_and(|age_ms| age_ms < PROOF_LIFETIME_MS);
-        if is_newest && self.knows_group() {
+            .is_some_and(|age_ms| age_ms < MAX_PROOF_AGE_MS);
+        if is_newest && self.is_group_known() {
             info!(target: LOG, catalog = self.catalog.version(),
                 catalog_age_ms = self.catalog.age_ms(); "this daemon is ready");
             self.set_phase(EdgePhase::Ready);
@@ -335,14 +341,17 @@
         self.starting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether most seeds have told the group, or have not for so long that they won't.
-    fn knows_group(&self) -> bool {
+    /// Returns whether most seeds have sent a member list, or the time to wait for them is
+    /// over.
+    fn is_group_known(&self) -> bool {
         let seeds = self.seeds.borrow().clone();
         let now = self.state.now();
         let mut starting = self.starting();
         let since = *starting.proven_since.get_or_insert(now);
-        let told = seeds.iter().filter(|seed| starting.listed.contains(*seed));
-        told.count() > seeds.len() / 2 || now.saturating_sub(since) >= SEEDS_GRACE_MS
+        let listed_seeds = seeds
+            .iter()
+            .filter(|seed| starting.lists_received_from.contains(*seed));
+        listed_seeds.count() > seeds.len() / 2 || now.saturating_sub(since) >= SEED_LISTS_WAIT_MS
     }
 
     pub(super) fn record(&self) -> EdgeRecord {
@@ -352,159 +361,161 @@
         }
     }
 
-    /// What this daemon finds out of back ends.
+    /// Subscribes to this daemon's findings about back ends.
     pub(super) fn findings(&self) -> broadcast::Receiver<SharedFinding> {
         self.state.findings()
     }
 
-    /// Takes in what other daemons found out of back ends.
-    pub(super) fn take_findings(&self, findings: &[SharedFinding]) {
+    /// Applies findings of other daemons about back ends.
+    pub(super) fn apply_findings(&self, findings: &[SharedFinding]) {
         for finding in findings {
             self.state.adopt_finding(finding);
         }
     }
 
-    /// The beliefs that it feeds.
+    /// Returns the daemon state that this follower updates.
     pub(super) fn state(&self) -> &EdgeState {
         &self.state
     }
 
-    /// What this daemon tells of rate limits of back ends.
+    /// Subscribes to the rate limits and token requests of this daemon.
     pub(super) fn limit_notes(&self) -> broadcast::Receiver<LimitNote> {
         self.state.limit_notes()
     }
 
-    /// What this daemon tells of requests under which back ends ended.
+    /// Subscribes to the crash records and trial requests of this daemon.
     pub(super) fn case_notes(&self) -> broadcast::Receiver<CaseNote> {
         self.state.case_notes()
     }
 
-    /// What it knows of them.
-    pub(super) fn told_cases(&self) -> Vec<SharedCase> {
+    /// Returns the crash records that this daemon has.
+    pub(super) fn crash_records(&self) -> Vec<SharedCase> {
         self.state.told_cases()
     }
 
-    /// Takes in what a control process knows of them.
-    pub(super) fn take_cases(&self, cases: &[SharedCase]) {
-        self.state.adopt_cases(cases);
+    /// Applies crash records of a control process.
+    pub(super) fn apply_crash_records(&self, records: &[SharedCase]) {
+        self.state.adopt_cases(records);
     }
 
-    /// Takes the answer to the wish to try one of them.
-    pub(super) fn take_verdict(&self, verdict: TrialVerdict) {
+    /// Applies the answer to a trial request.
+    pub(super) fn apply_trial_verdict(&self, verdict: TrialVerdict) {
         self.state.take_verdict(verdict);
     }
 
-    /// Takes in what a control process tells.
-    pub(super) fn take(&self, from: SocketAddr, message: ToEdge) {
+    /// Applies a message from a control process.
+    pub(super) fn apply(&self, from: SocketAddr, message: ToEdge) {
         match message {
-            // The connection that brought it deals with it.
+            // Handled by the connection that received it.
             ToEdge::Probe(_)
             | ToEdge::Pong { .. }
             | ToEdge::CatalogPart(_)
             | ToEdge::Findings(_)
-            | ToEdge::Cases(_)
+            | ToEdge::CrashRecords(_)
             | ToEdge::Trial(_)
             | ToEdge::Limits(_)
             | ToEdge::Token { .. } => {}
             ToEdge::Catalog(delta) => {
-                self.catalog.take(from, delta);
+                self.catalog.apply(from, delta);
                 self.become_ready();
             }
-            ToEdge::CatalogIsAt(version) => self.catalog.note_told(from, version),
-            ToEdge::Instances(news, starts) => self.state.adopt_instances(starts.join(news)),
+            ToEdge::CatalogVersion(version) => self.catalog.note_version(from, version),
+            ToEdge::Instances(changed, starts) => self.state.adopt_instances(starts.join(changed)),
             ToEdge::Edges(change) => {
                 {
-                    let mut followed = self.followed();
-                    let one = followed.entry(from).or_default();
-                    one.edges.extend(change.came);
-                    for name in &change.went {
-                        one.edges.remove(name);
+                    let mut followed_controls = self.followed_controls();
+                    let connection = followed_controls.entry(from).or_default();
+                    connection.edges.extend(change.added);
+                    for name in &change.removed {
+                        connection.edges.remove(name);
                     }
                 }
                 self.merge_edges();
             }
             ToEdge::Controls(group) => {
-                self.take_group(from, group);
-                self.news.notify_one();
+                self.apply_group(from, group);
+                self.changed.notify_one();
             }
         }
     }
 
-    fn take_group(&self, from: SocketAddr, group: ControlGroup) {
+    fn apply_group(&self, from: SocketAddr, group: ControlGroup) {
         info!(target: LOG, control:% = from, members = group.members.len(),
             voters = group.voters.len(), changed_at = group.changed_at;
-            "the control group was told");
-        self.starting().listed.insert(from);
+            "control group received");
+        self.starting().lists_received_from.insert(from);
         let is_newest = self.catalog.set_voters(group.voters, group.changed_at);
         if is_newest && !group.members.is_empty() {
             *self.controls() = group.members;
         }
     }
 
-    /// Tells whether this daemon is connected with more than half of the control
-    /// processes. Any two daemons that are have one of them in common, and know of
+    /// Updates whether this daemon is connected with more than half of the control processes.
+    /// Any two daemons that are connected so have one control process in common, and know of
     /// each other.
-    fn update_following(&self) {
+    fn update_is_following(&self) {
         let controls = self.controls().clone();
-        // Held until the end, so that an older result never replaces a newer one.
-        let followed = self.followed();
+        // Locked until the end, so that an older result never replaces a newer one.
+        let followed_controls = self.followed_controls();
         let now = self.state.now();
-        let connected = followed
+        let connected = followed_controls
             .iter()
-            .filter(|(address, one)| one.is_connected(now) && controls.contains(address))
+            .filter(|(address, connection)| {
+                connection.is_connected(now) && controls.contains(address)
+            })
             .count();
         self.state.set_following(connected > controls.len() / 2);
     }
 
     fn merge_edges(&self) {
-        // Nobody that is connected tells the daemons: the last list stands. Retry budgets
-        // are shared out by it, and one of this daemon alone would take them whole.
-        if self.followed_count() == 0 {
-            self.update_following();
+        // Without a connection, the last list of daemons is kept. Retry budgets are divided by
+        // it: with a list of this daemon alone, it would take the whole budget.
+        if self.connected_count() == 0 {
+            self.update_is_following();
             return;
         }
         let now = self.state.now();
         let names: BTreeSet<String> = self
-            .followed()
+            .followed_controls()
             .values()
-            .filter(|one| one.is_connected(now))
-            .flat_map(|one| one.edges.iter().cloned())
+            .filter(|connection| connection.is_connected(now))
+            .flat_map(|connection| connection.edges.iter().cloned())
             .collect();
         self.state.set_daemons(&self.record.name, names.into_iter());
-        self.update_following();
+        self.update_is_following();
     }
 
-    /// Control processes that it is connected with.
-    pub fn followed_count(&self) -> usize {
+    /// Returns the number of connected control processes.
+    pub fn connected_count(&self) -> usize {
         let now = self.state.now();
-        let followed = self.followed();
-        followed
+        let followed_controls = self.followed_controls();
+        followed_controls
             .values()
-            .filter(|one| one.is_connected(now))
+            .filter(|connection| connection.is_connected(now))
             .count()
     }
 
-    /// What the follower knows, for the dump.
+    /// Returns the follower's state for the dump.
     pub fn dump(&self) -> Value {
         let now = self.state.now();
-        let followed: BTreeMap<String, bool> = self
-            .followed()
+        let followed_controls: BTreeMap<String, bool> = self
+            .followed_controls()
             .iter()
-            .map(|(address, one)| (address.to_string(), one.is_connected(now)))
+            .map(|(address, connection)| (address.to_string(), connection.is_connected(now)))
             .collect();
         json!({
             "phase": format!("{:?}", self.phase()),
             "controls": *self.controls(),
             "catalog_age_ms": self.catalog.age_ms(),
-            "followed": followed,
+            "followed": followed_controls,
         })
     }
 }
 
-/// Ends its task when it is dropped.
-struct Link(JoinHandle<()>);
+/// Aborts its task when it is dropped.
+struct FollowTask(JoinHandle<()>);
 
-impl Drop for Link {
+impl Drop for FollowTask {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/coursestand-daemon/src/fleet/edge_service.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_service.rs
@@ -1,5 +1,4 @@
-//! The entry role of a fleet: serves callers, and stops in an order that cuts no
-//! request off.
+//! The entry role of a fleet process: serves callers, and stops without cutting requests off.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,18 +37,18 @@
 use crate::names;
 
 const LOG: &str = "edge";
-/// Time between two rounds of regular work.
-const ROUND: Duration = Duration::from_secs(1);
-/// Clients may hold a look-up this many times as long as they were told.
-const TTL_FACTOR: u32 = 3;
-/// Time for control processes to hear that the daemon leaves.
-const ANNOUNCE: Duration = Duration::from_millis(300);
-/// Part of a planned stop that is kept back for the process to end.
-const RESERVE: Duration = Duration::from_millis(300);
-/// Time for an answer to reach its caller before the process ends.
+/// Time between two rounds of periodic work.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Clients may use a look-up for this many times its lifetime.
+const MAX_TTL_FACTOR: u32 = 3;
+/// Time for control processes to learn that the daemon is draining.
+const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
+/// Part of a planned stop that is reserved for the process to exit.
+const EXIT_RESERVE: Duration = Duration::from_millis(300);
+/// Time for the last answers to reach their callers before the process exits.
 const ANSWER_RESERVE: Duration = Duration::from_millis(300);
-/// Heartbeats after which it is sure whether a back end has turned cold.
-const HEARTBEATS_TO_SETTLE: u64 = 2;
+/// Number of heartbeats after which it is known whether a back end has turned cold.
+const COLD_SETTLE_HEARTBEATS: u64 = 2;
 
 /// Runs the entry role.
 pub struct FleetEdge {
@@ -58,10 +57,10 @@
     clock: MonotonicClock,
     seeds: watch::Receiver<Vec<SocketAddr>>,
     tasks: Tasks,
-    running: Mutex<Option<Arc<Running>>>,
+    running: Mutex<Option<Arc<RunningEdge>>>,
 }
 
-struct Running {
+struct RunningEdge {
     state: Arc<EdgeState>,
     follower: Arc<EdgeFollower>,
     pool: Arc<Pool>,
@@ -71,7 +70,7 @@
     metrics: EdgeMetrics,
 }
 
-impl Running {
+impl RunningEdge {
     fn update_metrics(&self) {
         self.follower.update_metrics();
         self.metrics.idle.set(self.pool.idle_count() as i64);
@@ -94,14 +93,19 @@
             .set(count(&|backend| backend.backs_off(now)));
         let limited = beliefs.backends.limited();
         self.metrics.rate_limited.set(limited as i64);
-        let cases = beliefs.fatal.views(now);
-        let convicted = cases.iter().filter(|case| case.rejected_ms > 0).count();
-        self.metrics.convicted.set(convicted as i64);
-        self.metrics.suspects.set((cases.len() - convicted) as i64);
+        let crash_records = beliefs.fatal.views(now);
+        let quarantined = crash_records
+            .iter()
+            .filter(|record| record.rejected_ms > 0)
+            .count();
+        self.metrics.quarantined.set(quarantined as i64);
+        self.metrics
+            .suspects
+            .set((crash_records.len() - quarantined) as i64);
         self.update_retry_metrics(&beliefs);
     }
 
-    /// Shows the budget of each service, also of one without requests so far.
+    /// Updates the retry metrics of every service, including those without requests so far.
     fn update_retry_metrics(&self, beliefs: &Beliefs) {
         let now = self.state.now();
         let limits = self.state.bounds().retries;
@@ -116,16 +120,16 @@
             let held = budget.map(|budget| budget.held(now, limits) as f64);
             let service = [service.as_str()];
             let metrics = &self.metrics;
-            let show = |gauge: &GaugeVec, value: Option<f64>| {
+            let set_gauge = |gauge: &GaugeVec, value: Option<f64>| {
                 let gauge = gauge.with_label_values(&service);
                 gauge.set(value.unwrap_or_default());
             };
-            show(&metrics.retry_budget, left);
-            show(&metrics.held_retries, held);
+            set_gauge(&metrics.retry_budget, left);
+            set_gauge(&metrics.withheld_retries, held);
         }
     }
 
-    /// Tells how much of the machine's link the requests need, when its speed is known.
+    /// Reports the link utilization that the requests need, if the link's speed is known.
     fn update_link_use(&self) {
         let Some(demand) = self.exchange.gate().sample_demand() else {
             return;
@@ -137,7 +141,7 @@
 }
 
 impl FleetEdge {
-    /// An entry role with these settings; the seeds may change.
+    /// Creates an entry role with these settings; the seeds may change later.
     pub fn new(
         settings: FleetSettings,
         dialect: Arc<dyn Dialect>,
@@ -154,7 +158,7 @@
         }
     }
 
-    fn running(&self) -> Option<Arc<Running>> {
+    fn running(&self) -> Option<Arc<RunningEdge>> {
         self.running
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -190,7 +194,7 @@
                 extra: bounds.retry_extra,
                 window_ms: bounds.retry_window.0,
             },
-            settle_ms: HEARTBEATS_TO_SETTLE * bounds.heartbeat.0,
+            settle_ms: COLD_SETTLE_HEARTBEATS * bounds.heartbeat.0,
             hand_over_ms: HAND_OVER_MS,
         };
         EdgeState::new(self.clock, place, bounds)
@@ -249,7 +253,7 @@
         .await
         .map_err(|error| failed(&error))?;
         self.tasks.start(Arc::clone(&follower).run());
-        let running = Arc::new(Running {
+        let running = Arc::new(RunningEdge {
             state,
             follower,
             pool,
@@ -258,34 +262,34 @@
             ready,
             metrics: EdgeMetrics::new(registry.metrics()).map_err(|error| failed(&error))?,
         });
-        self.tasks.start(run_rounds(Arc::clone(&running)));
+        self.tasks.start(run_periodic_work(Arc::clone(&running)));
         *self.running.lock().unwrap_or_else(PoisonError::into_inner) = Some(running);
         Ok(())
     }
 
-    /// Look-ups stop naming the daemon; it serves on until the answers that
-    /// clients hold have run out, then finishes what it has.
+    /// Drains the daemon: look-ups leave it out, it accepts callers until the look-ups that
+    /// clients hold have expired, then finishes the requests in flight.
     async fn drain(&self) {
         let Some(running) = self.running() else {
             return;
         };
         let stop = self.settings.bounds.stop.duration();
-        let end = Instant::now() + stop.saturating_sub(RESERVE + ANSWER_RESERVE);
+        let deadline = Instant::now() + stop.saturating_sub(EXIT_RESERVE + ANSWER_RESERVE);
         running.follower.set_phase(EdgePhase::Draining);
-        running.exchange.ends_at(end);
+        running.exchange.ends_at(deadline);
         running.server.announce_stop();
         let ttl = Duration::from_millis(lookup_ttl(&self.settings));
-        let served_on = ANNOUNCE + ttl * TTL_FACTOR;
-        tokio::time::sleep(served_on.min(stop.saturating_sub(RESERVE))).await;
+        let drain_time = ANNOUNCE_TIME + ttl * MAX_TTL_FACTOR;
+        tokio::time::sleep(drain_time.min(stop.saturating_sub(EXIT_RESERVE))).await;
         info!(target: LOG, in_flight = running.exchange.metrics().in_flight.get();
-            "callers are no longer accepted");
-        let left = stop.saturating_sub(served_on + RESERVE);
+            "new callers are rejected");
+        let left = stop.saturating_sub(drain_time + EXIT_RESERVE);
         if tokio::time::timeout(left, running.server.close())
             .await
             .is_err()
         {
             info!(target: LOG, in_flight = running.exchange.metrics().in_flight.get();
-                "the time of the planned stop is over");
+                "planned stop timed out with requests in flight");
         }
     }
 
@@ -382,11 +386,11 @@
     HttpServer::start(address, endpoint, Duration::ZERO).await
 }
 
-async fn run_rounds(running: Arc<Running>) {
+async fn run_periodic_work(running: Arc<RunningEdge>) {
     loop {
         running.update_metrics();
         running.update_link_use();
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         let (known, limits) = {
             let beliefs = running.state.beliefs();
             let known: std::collections::HashSet<_> = beliefs
--- a/crates/coursestand-daemon/src/fleet/follower_metrics.rs
+++ b/crates/coursestand-daemon/src/fleet/follower_metrics.rs
@@ -1,37 +1,37 @@
-//! Metrics of an entry daemon's connections with the control group.
+//! Metrics of an entry daemon's connections to the control group.
 
 use coursestand_model::Millis;
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
 use crate::fleet::wire::ToEdge;
 
-/// Upper bounds of the round trips that are told apart, in seconds: between regions
-/// one takes some 40 ms; from 0.5 s on changes come late.
+/// Upper bounds of the round trip histogram in seconds. A round trip between regions takes
+/// about 40 ms; from 0.5 s on, changes are late.
 const ROUND_TRIP_BUCKETS: [f64; 8] = [0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0];
-/// What messages from control processes tell of.
+/// Kinds of messages from control processes.
 const CATALOG: &str = "catalog";
 const BACKENDS: &str = "backends";
 const DAEMONS: &str = "daemons";
 const OTHER: &str = "other";
-/// Told as the age of a catalog that was never proven to be the newest.
+/// Reported as the age of a catalog that was never proven to be the newest.
 const UNKNOWN_AGE: i64 = -1;
 
-/// Metrics of the follower.
+/// Metrics of the connections to control processes.
 pub struct FollowerMetrics {
-    /// Control processes that it is connected with.
+    /// Connected control processes.
     pub followed: IntGauge,
-    /// Milliseconds since the catalog was proven to be the newest.
+    /// Milliseconds since the time as of which the catalog is proven to be the newest.
     pub catalog_age: IntGauge,
-    /// Connections to control processes that were lost.
+    /// Lost connections to control processes.
     pub lost: IntCounter,
-    /// From a sign of life to its answer, in seconds.
+    /// Time from a ping to its answer, in seconds.
     pub round_trip: Histogram,
-    /// Bytes of messages from control processes, by what they tell.
+    /// Bytes of messages from control processes, by kind.
     received: IntCounterVec,
 }
 
 impl FollowerMetrics {
-    /// Metrics known to `registry`.
+    /// Creates the metrics and registers them with `registry`; fails if a name is taken.
     pub fn new(registry: &Registry) -> Result<FollowerMetrics, prometheus::Error> {
         let followed = IntGauge::new("coursestand_edge_followed", "Control processes followed")?;
         let catalog_age = IntGauge::new(
@@ -40,21 +40,21 @@
         )?;
         let lost = IntCounter::new(
             "coursestand_edge_control_lost_total",
-            "Connections to control processes that were lost",
+            "Lost connections to control processes",
         )?;
         let options = HistogramOpts::new(
             "coursestand_edge_control_round_trip_seconds",
-            "From a sign of life to its answer",
+            "Time from a ping to its answer",
         );
         let round_trip = Histogram::with_opts(options.buckets(ROUND_TRIP_BUCKETS.to_vec()))?;
         let received = IntCounterVec::new(
             Opts::new(
                 "coursestand_edge_control_bytes_total",
-                "Bytes of messages from control processes, by what they tell",
+                "Bytes of messages from control processes, by kind",
             ),
             &["kind"],
         )?;
-        // Shown from the start, with nothing counted yet.
+        // Creates every series at the start, with the value 0.
         for kind in [CATALOG, BACKENDS, DAEMONS, OTHER] {
             received.with_label_values(&[kind]);
         }
@@ -75,10 +75,10 @@
     /// Counts a message of this length in bytes.
     pub fn count_received(&self, message: &ToEdge, length: usize) {
         let kind = match message {
-            ToEdge::Catalog(_) | ToEdge::CatalogPart(_) | ToEdge::CatalogIsAt(_) => CATALOG,
+            ToEdge::Catalog(_) | ToEdge::CatalogPart(_) | ToEdge::CatalogVersion(_) => CATALOG,
             ToEdge::Instances(..)
             | ToEdge::Findings(_)
-            | ToEdge::Cases(_)
+            | ToEdge::CrashRecords(_)
             | ToEdge::Trial(_)
             | ToEdge::Limits(_)
             | ToEdge::Token { .. } => BACKENDS,
@@ -89,7 +89,7 @@
         counter.inc_by(length as u64);
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub fn update(&self, followed: usize, catalog_age_ms: Option<Millis>) {
         self.followed.set(followed as i64);
         let age = catalog_age_ms.map_or(UNKNOWN_AGE, |age| age as i64);
--- a/crates/coursestand-daemon/src/fleet/formation.rs
+++ b/crates/coursestand-daemon/src/fleet/formation.rs
@@ -1,10 +1,10 @@
-//! Forms the control group from seeds alone and keeps it whole.
+//! Forms the control group from the seed addresses and maintains its membership.
 //!
-//! At the first start of a deployment the processes at the seeds are the first
-//! voters; their identities follow from their addresses, so they need no talk.
-//! All others, and every process that lost its disk, ask the leader to take them
-//! in under a new identity: first as learners, then, once they have caught up, as
-//! voters in place of what stood at their address.
+//! At the first start of a deployment the processes at the seed addresses become the first
+//! voters; their identities are derived from their addresses, so they need no coordination. All
+//! other processes, and every process that lost its disk, ask the leader to add them under a
+//! new identity: first as learners and, once they have caught up, as voters in place of the
+//! earlier replica at their address.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -26,38 +26,38 @@
 use crate::fleet::wire::{Answer, ControlGroup, Question};
 
 const LOG: &str = "formation";
-/// Time between two looks at the group.
-const ROUND: Duration = Duration::from_millis(200);
-/// Longest wait for an answer or a change.
-const LIMIT: Duration = Duration::from_millis(1_500);
-/// A request to join counts for this long.
-const JOIN_LIFETIME_MS: Millis = 4_000;
-/// A member heard within this time is alive.
-const ALIVE_MS: Millis = 1_000;
-/// A voter silent for this long may be removed when enough others are alive.
-const LOST_MS: Millis = 3_000;
-/// A replica that knows no leader for this long asks whether it still belongs.
-const LEADERLESS_MS: Millis = 2_000;
-/// Entries that a learner may lack when it becomes a voter.
-const CAUGHT_UP: u64 = 16;
+/// Time between two checks of the group.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout for an answer or a membership change.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a request to join is valid.
+const JOIN_REQUEST_TTL_MS: Millis = 4_000;
+/// A member that was silent for less than this is alive.
+const ALIVE_WITHIN_MS: Millis = 1_000;
+/// A voter that was silent for longer than this may be removed if enough others are alive.
+const LOST_AFTER_MS: Millis = 3_000;
+/// A replica without a leader for longer than this asks whether it is still a member.
+const LEADERLESS_LIMIT_MS: Millis = 2_000;
+/// Maximum lag of a learner, in log entries, when it is promoted to voter.
+const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
 
-/// What the formation of a group depends on.
+/// Settings of the group's formation.
 #[derive(Clone, Debug)]
 pub struct FormationRules {
     /// This process's internal address.
-    pub own: SocketAddr,
+    pub local_address: SocketAddr,
     /// Whether the deployment starts for the first time.
     pub bootstrap: bool,
-    /// Control disks that may be lost at once.
+    /// Number of control disks that may be lost at once.
     pub lost_disks: usize,
 }
 
 struct JoinRequest {
     replica: u64,
-    at: Millis,
+    received_at: Millis,
 }
 
-/// Forms the group and keeps it whole.
+/// Forms the control group and maintains its membership.
 pub struct Formation {
     rules: FormationRules,
     clock: MonotonicClock,
@@ -71,7 +71,7 @@
 }
 
 impl Formation {
-    /// A formation by `rules`; `seeds` may change.
+    /// Creates a formation with `rules`; `seeds` may change later.
     pub fn new(
         rules: FormationRules,
         clock: MonotonicClock,
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Tells the formation its connections; called once.
-    pub fn connect(&self, links: Arc<PeerLinks>) {
-        // A second call would change nothing.
+    /// Sets the connections to the other control processes; called once.
+    pub fn set_links(&self, links: Arc<PeerLinks>) {
+        // Fails only if they are set already.
         let _ = self.links.set(links);
     }
 
@@ -102,10 +102,10 @@
         self.links.get()
     }
 
-    /// A replica asks to be taken in. It asks again until it is.
+    /// Handles a request to join, which the replica repeats until it is a member.
     pub fn admit(&self, address: SocketAddr, replica: u64) -> Answer {
         if self.control.shared.leading_term().is_none() {
-            // The seeds of the one that asks may not hold the leader.
+            // The seeds of the joining process may not include the leader.
             return Answer::AskThese(self.member_addresses().into_iter().collect());
         }
         let membership = self.control.shared.membership();
@@ -124,7 +124,7 @@
         }
         let request = JoinRequest {
             replica,
-            at: self.clock.now(),
+            received_at: self.clock.now(),
         };
         self.joins
             .lock()
@@ -133,11 +133,11 @@
         Answer::AskThese(Vec::new())
     }
 
-    /// Works until it is dropped.
+    /// Runs until it is dropped.
     pub async fn run(self: Arc<Self>) {
         let mut leaderless_since = self.clock.now();
         loop {
-            self.keep_links();
+            self.maintain_links();
             let status = self.control.shared.status();
             if status.leader.is_some() {
                 leaderless_since = self.clock.now();
@@ -145,12 +145,12 @@
             let leaderless_ms = self.clock.now().saturating_sub(leaderless_since);
             match status.role {
                 "blank" => self.join_as_blank().await,
-                "leader" => self.maintain(&status).await,
+                "leader" => self.change_group_if_due(&status).await,
                 "failed" => {}
-                _ if leaderless_ms > LEADERLESS_MS => self.ask_to_return(&status).await,
+                _ if leaderless_ms > LEADERLESS_LIMIT_MS => self.ask_to_rejoin(&status).await,
                 _ => {}
             }
-            tokio::time::sleep(ROUND).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
@@ -166,7 +166,7 @@
         };
         for member in membership.members.values() {
             let Ok(address) = member.address.parse() else {
-                warn!(target: LOG, address = member.address; "a member has no address");
+                warn!(target: LOG, address = member.address; "a member's address is invalid");
                 continue;
             };
             group.members.insert(address);
@@ -178,14 +178,14 @@
     }
 
     /// Keeps connections to the seeds and to all members.
-    fn keep_links(&self) {
+    fn maintain_links(&self) {
         let group = self.group();
         if let Some(links) = self.links() {
             for seed in self.seeds.borrow().iter() {
-                links.keep(*seed);
+                links.ensure_link(*seed);
             }
             for member in &group.members {
-                links.keep(*member);
+                links.ensure_link(*member);
             }
         }
         if !group.members.is_empty() {
@@ -195,9 +195,9 @@
 
     async fn join_as_blank(&self) {
         let seeds = self.seeds.borrow().clone();
-        let is_founder = self.rules.bootstrap && seeds.contains(&self.rules.own);
+        let is_founder = self.rules.bootstrap && seeds.contains(&self.rules.local_address);
         if is_founder {
-            self.found(&seeds).await;
+            self.found_group(&seeds).await;
             return;
         }
         let Some((cluster, voters)) = self.ask_to_join(self.new_replica).await else {
@@ -213,15 +213,15 @@
         }
     }
 
-    /// The first start of the deployment: the seeds are the first voters.
-    async fn found(&self, seeds: &[SocketAddr]) {
+    /// Founds the group at the first start of the deployment, with the seeds as first voters.
+    async fn found_group(&self, seeds: &[SocketAddr]) {
         let voters: Vec<(u64, String)> = seeds
             .iter()
             .map(|seed| (replica_of(*seed), seed.to_string()))
             .collect();
         let identity = Identity {
             cluster: cluster_of(seeds),
-            replica: replica_of(self.rules.own),
+            replica: replica_of(self.rules.local_address),
         };
         match self.control.join(identity, voters).await {
             Ok(()) => info!(target: LOG, replica = identity.replica; "founded the control group"),
@@ -229,10 +229,10 @@
         }
     }
 
-    /// A replica that was removed while it was cut off comes back with its log.
-    async fn ask_to_return(&self, status: &ReplicaStatus) {
+    /// Asks to rejoin, with its log, after the replica was removed while it was partitioned.
+    async fn ask_to_rejoin(&self, status: &ReplicaStatus) {
         if let Some(identity) = &status.identity {
-            // The leader sends the log once it has taken the replica in.
+            // The leader replicates the log to it once the replica is a member again.
             let _ = self.ask_to_join(identity.replica).await;
         }
     }
@@ -240,21 +240,21 @@
     async fn ask_to_join(&self, replica: u64) -> Option<(u64, Vec<(u64, String)>)> {
         let links = self.links()?;
         let question = Question::Join {
-            address: self.rules.own,
+            address: self.rules.local_address,
             replica,
         };
-        let asked = links
+        let requests = links
             .addresses()
             .into_iter()
-            .map(|address| links.ask(address, question.clone(), LIMIT));
-        let answers = futures::future::join_all(asked).await;
+            .map(|address| links.ask(address, question.clone(), REQUEST_TIMEOUT));
+        let answers = futures::future::join_all(requests).await;
         let mut joined = None;
         for answer in answers.into_iter().flatten() {
             match answer {
                 Answer::Joined { cluster, voters } => joined = Some((cluster, voters)),
                 Answer::AskThese(members) => {
                     for member in members {
-                        links.keep(member);
+                        links.ensure_link(member);
                     }
                 }
                 _ => {}
@@ -263,17 +263,17 @@
         joined
     }
 
-    /// Makes one change of the group, if one is due.
-    async fn maintain(&self, status: &ReplicaStatus) {
+    /// Makes one membership change, if one is due.
+    async fn change_group_if_due(&self, status: &ReplicaStatus) {
         let membership = self.control.shared.membership();
         let Some(next) = self.next_change(status, &membership) else {
             return;
         };
         let change = self.control.change_members(next);
-        match tokio::time::timeout(LIMIT, change).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, change).await {
             Ok(Ok(_)) => {}
-            Ok(Err(error)) => info!(target: LOG, "the group was not changed: {error}"),
-            Err(_) => info!(target: LOG, "a change of the group takes long"),
+            Ok(Err(error)) => info!(target: LOG, "membership change failed: {error}"),
+            Err(_) => info!(target: LOG, "membership change is not committed so far"),
         }
     }
 
@@ -287,11 +287,11 @@
         let now = self.clock.now();
         let mut joins = self.joins.lock().unwrap_or_else(PoisonError::into_inner);
         joins.retain(|_, request| {
-            let is_fresh = now.saturating_sub(request.at) < JOIN_LIFETIME_MS;
+            let is_fresh = now.saturating_sub(request.received_at) < JOIN_REQUEST_TTL_MS;
             is_fresh && !membership.members.contains_key(&request.replica)
         });
         let (address, request) = joins.iter().next()?;
-        info!(target: LOG, replica = request.replica, address:% = address; "a learner joins");
+        info!(target: LOG, replica = request.replica, address:% = address; "adding a learner");
         let member = Member {
             address: address.to_string(),
             is_voter: false,
@@ -302,12 +302,12 @@
     }
 }
 
-/// Identity of the first replica at an address.
+/// Returns the identity of the first replica at an address.
 pub fn replica_of(address: SocketAddr) -> u64 {
     hash_of(&address.to_string()).max(1)
 }
 
-/// Identity of the group that these seeds found.
+/// Returns the identity of the group that these seeds found.
 pub fn cluster_of(seeds: &[SocketAddr]) -> u64 {
     let seeds: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
     seeds
@@ -316,17 +316,19 @@
 }
 
 fn is_alive(member: &MemberStatus) -> bool {
-    // The leader has no silence of itself.
-    member.silent_ms.is_none_or(|silent| silent < ALIVE_MS)
+    // The leader reports no silence for itself.
+    member
+        .silent_ms
+        .is_none_or(|silent| silent < ALIVE_WITHIN_MS)
 }
 
-/// A learner that has caught up becomes a voter, after the earlier replica at its
-/// address is removed: that one lost its disk and can't come back.
+/// Promotes a learner that has caught up to voter; before that, removes the earlier replica at
+/// its address, which lost its disk and can't return.
 pub fn promote_or_replace(status: &ReplicaStatus, membership: &Membership) -> Option<Membership> {
     let learner = status.members.iter().find(|member| {
-        let has_caught_up = member
-            .matched
-            .is_some_and(|matched| matched > 0 && matched + CAUGHT_UP >= status.commit);
+        let has_caught_up = member.matched.is_some_and(|matched| {
+            matched > 0 && matched + MAX_LEARNER_LAG_ENTRIES >= status.commit
+        });
         !member.voter && is_alive(member) && has_caught_up
     })?;
     let mut next = membership.clone();
@@ -336,18 +338,18 @@
         .find(|member| member.address == learner.address && member.replica != learner.replica);
     if let Some(predecessor) = predecessor {
         info!(target: LOG, replica = predecessor.replica, address = predecessor.address;
-            "a replica that lost its disk is removed");
+            "removing a replica that lost its disk");
         next.members.remove(&predecessor.replica);
     } else {
         info!(target: LOG, replica = learner.replica, address = learner.address;
-            "a learner becomes a voter");
+            "promoting a learner to voter");
         next.members.get_mut(&learner.replica)?.is_voter = true;
     }
     Some(next)
 }
 
-/// A silent voter is removed when the others alone bear the loss of as many disks
-/// as may be lost: else it may be the one that is needed when it comes back.
+/// Removes a silent voter if the remaining ones tolerate the loss of `lost_disks` disks without
+/// it. Otherwise its data may be needed when it returns.
 pub fn remove_lost(
     status: &ReplicaStatus,
     membership: &Membership,
@@ -359,11 +361,13 @@
         .filter(|member| member.voter && is_alive(member))
         .count();
     let lost = status.members.iter().find(|member| {
-        let is_lost = member.silent_ms.is_some_and(|silent| silent > LOST_MS);
-        let may_go = !member.voter || alive > 2 * lost_disks;
-        is_lost && may_go
+        let is_lost = member
+            .silent_ms
+            .is_some_and(|silent| silent > LOST_AFTER_MS);
+        let is_removable = !member.voter || alive > 2 * lost_disks;
+        is_lost && is_removable
     })?;
-    info!(target: LOG, replica = lost.replica, address = lost.address; "a lost replica is removed");
+    info!(target: LOG, replica = lost.replica, address = lost.address; "removing a lost replica");
     let mut next = membership.clone();
     next.members.remove(&lost.replica);
     Some(next)
--- a/crates/coursestand-daemon/src/fleet/hub/crash_records.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/crash_records.rs
@@ -1,5 +1,5 @@
-//! What a control process keeps of requests under which back ends ended: it passes
-//! findings on, hands the cases to each daemon that connects, and grants trials.
+//! Crash records of requests: a control process relays findings, sends the records to each
+//! daemon that connects, and grants trials while it leads.
 
 use std::net::SocketAddr;
 use std::sync::{MutexGuard, PoisonError};
@@ -13,27 +13,27 @@
 use super::{Hub, LOG};
 use crate::fleet::wire::ToEdge;
 
-/// A leader grants no trial before it has led for this long: by then the daemons have told
-/// it what it may not know, and a trial that its predecessor granted.
-const SETTLING_MS: Millis = 3_000;
+/// A leader grants no trial before it has led for this long: by then the daemons have sent it
+/// the crash records that it may lack, and any trial that its predecessor granted.
+const MIN_LEADERSHIP_MS: Millis = 3_000;
 
-/// The cases, and since when this replica leads.
-pub(super) struct CaseDesk {
+/// Crash records, and the term and start of this replica's leadership.
+pub(super) struct CrashRecords {
     fatal: FatalRequests,
     /// Term of the lease, and when it was first seen.
     leading: Option<(u64, Millis)>,
 }
 
-impl CaseDesk {
-    /// Knows nothing; `own` is the address of the process.
-    pub(super) fn new(own: SocketAddr) -> CaseDesk {
-        CaseDesk {
-            fatal: FatalRequests::new(hash_of(&own.to_string())),
+impl CrashRecords {
+    /// Creates an empty set; `local_address` is the address of the process.
+    pub(super) fn new(local_address: SocketAddr) -> CrashRecords {
+        CrashRecords {
+            fatal: FatalRequests::new(hash_of(&local_address.to_string())),
             leading: None,
         }
     }
 
-    /// The replica leads with a lease of this term, or doesn't.
+    /// Records the term of the lease under which this replica leads, if it does.
     fn note_lease(&mut self, now: Millis, term: Option<u64>) {
         self.leading = term.map(|term| match self.leading {
             Some((known, since)) if known == term => (term, since),
@@ -41,94 +41,101 @@
         });
     }
 
-    /// Whether this replica has led for long enough.
-    fn is_settled(&self, now: Millis) -> bool {
+    /// Returns whether this replica has led for long enough to grant trials.
+    fn may_grant_trials(&self, now: Millis) -> bool {
         let since = self.leading.map(|(_, since)| since);
-        since.is_some_and(|since| now.saturating_sub(since) >= SETTLING_MS)
+        since.is_some_and(|since| now.saturating_sub(since) >= MIN_LEADERSHIP_MS)
     }
 }
 
 impl Hub {
-    fn cases(&self) -> MutexGuard<'_, CaseDesk> {
-        self.cases.lock().unwrap_or_else(PoisonError::into_inner)
+    fn crash_records(&self) -> MutexGuard<'_, CrashRecords> {
+        self.crash_records
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes on what the entry daemon with this queue found out of back ends, and
-    /// remembers it for daemons that connect later.
-    pub fn pass_findings(&self, from: u64, findings: Vec<SharedFinding>) {
+    /// Relays findings of the entry daemon with this queue about back ends, and records them
+    /// for daemons that connect later.
+    pub fn relay_findings(&self, from: u64, findings: Vec<SharedFinding>) {
         if findings.is_empty() {
             return;
         }
         let now = self.clock.now();
         {
-            let mut cases = self.cases();
+            let mut crash_records = self.crash_records();
             for finding in &findings {
-                cases.fatal.take(now, finding);
+                crash_records.fatal.take(now, finding);
             }
         }
         let message = ToEdge::Findings(findings);
-        self.pass_to_others(from, &message, |follower| follower.reads.findings);
+        self.relay(from, &message, |subscriber| {
+            subscriber.subscriptions.findings
+        });
     }
 
-    /// Part of the regular work: this replica leads with a lease of this term, or doesn't.
+    /// Periodic work: records the term of the lease under which this replica leads, if it does.
     pub fn note_lease(&self, term: Option<u64>) {
-        self.cases().note_lease(self.clock.now(), term);
+        self.crash_records().note_lease(self.clock.now(), term);
     }
 
-    /// The cases, for the dump.
-    pub fn case_views(&self) -> Vec<CaseView> {
-        self.cases().fatal.views(self.clock.now())
+    /// Returns the crash records for the dump.
+    pub fn crash_record_views(&self) -> Vec<CaseView> {
+        self.crash_records().fatal.views(self.clock.now())
     }
 
-    /// What a daemon has to know that connects.
-    pub fn told_cases(&self) -> Vec<SharedCase> {
-        self.cases().fatal.told(self.clock.now())
+    /// Returns the crash records for a daemon that connects.
+    pub fn shared_crash_records(&self) -> Vec<SharedCase> {
+        self.crash_records().fatal.told(self.clock.now())
     }
 
-    /// Takes in what the entry daemon with this queue knows, and passes on what is news.
-    pub fn take_cases(&self, from: u64, told: &[SharedCase]) {
+    /// Merges crash records of the entry daemon with this queue, and relays those that changed.
+    pub fn merge_crash_records(&self, from: u64, updates: &[SharedCase]) {
         let now = self.clock.now();
-        let news: Vec<SharedCase> = {
-            let fatal = &mut self.cases().fatal;
-            let told = told.iter();
-            let news = told.filter(|case| !fatal.merge(now, case).is_empty());
-            let news: Vec<_> = news.map(|case| case.request).collect();
-            let news = news.into_iter();
-            news.filter_map(|request| fatal.shared(now, request))
+        let changed: Vec<SharedCase> = {
+            let fatal = &mut self.crash_records().fatal;
+            let updates = updates.iter();
+            let changed = updates.filter(|record| !fatal.merge(now, record).is_empty());
+            let changed: Vec<_> = changed.map(|record| record.request).collect();
+            let changed = changed.into_iter();
+            changed
+                .filter_map(|request| fatal.shared(now, request))
                 .collect()
         };
-        self.pass_cases(from, news);
+        self.relay_crash_records(from, changed);
     }
 
-    /// Answers the entry daemon with this queue, which wants to try a request and knows this
-    /// of it. `term` is that of the replica's lease, if it leads.
+    /// Answers the trial request of the entry daemon with this queue, which has the crash
+    /// record `record`. `term` is that of the replica's lease, if it leads.
     pub fn answer_trial(
         &self,
         from: u64,
-        case: &SharedCase,
+        record: &SharedCase,
         term: Option<u64>,
     ) -> Option<TrialVerdict> {
         let now = self.clock.now();
         let verdict = {
-            let mut cases = self.cases();
-            cases.note_lease(now, term);
-            cases.fatal.merge(now, case);
-            cases
-                .is_settled(now)
-                .then(|| cases.fatal.grant_trial(now, case.request))?
+            let mut crash_records = self.crash_records();
+            crash_records.note_lease(now, term);
+            crash_records.fatal.merge(now, record);
+            crash_records
+                .may_grant_trials(now)
+                .then(|| crash_records.fatal.grant_trial(now, record.request))?
         };
-        if let TrialVerdict::Granted(case) = &verdict {
-            info!(target: LOG, fingerprint = case.request.0, convictions = case.convictions,
-                rejected_ms = case.rejected_ms; "a trial of a request was granted");
-            self.pass_cases(from, vec![case.clone()]);
+        if let TrialVerdict::Granted(record) = &verdict {
+            info!(target: LOG, fingerprint = record.request.0, convictions = record.convictions,
+                rejected_ms = record.rejected_ms; "a trial of a request was granted");
+            self.relay_crash_records(from, vec![record.clone()]);
         }
         Some(verdict)
     }
 
-    fn pass_cases(&self, from: u64, cases: Vec<SharedCase>) {
-        if !cases.is_empty() {
-            let message = ToEdge::Cases(cases);
-            self.pass_to_others(from, &message, |follower| follower.reads.cases);
+    fn relay_crash_records(&self, from: u64, crash_records: Vec<SharedCase>) {
+        if !crash_records.is_empty() {
+            let message = ToEdge::CrashRecords(crash_records);
+            self.relay(from, &message, |subscriber| {
+                subscriber.subscriptions.crash_records
+            });
         }
     }
 }
--- a/crates/coursestand-daemon/src/fleet/hub/edges.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/edges.rs
@@ -1,4 +1,4 @@
-//! The hub's entry daemons: who is connected, who fell silent, and whom look-ups name.
+//! Entry daemons in the hub: connections, failure detection and look-ups.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,23 +16,24 @@
 use super::{EdgeNames, Hub, LOG};
 use crate::fleet::wire::{PeerMessage, ToEdge};
 
-/// Entry daemons named in one look-up at most.
-const MOST_ADDRESSES: usize = 64;
+/// Maximum number of entry daemons in the answer to a look-up.
+const MAX_LOOKUP_ADDRESSES: usize = 64;
 
 impl Hub {
-    /// Names of the connected entry daemons, as they change.
+    /// Watches the names of the connected entry daemons.
     pub fn edges(&self) -> watch::Receiver<EdgeNames> {
         self.edges.subscribe()
     }
 
-    /// Another control process gave a sign of life.
-    pub fn heard_peer(&self, peer: SocketAddr) {
+    /// Records that a message from another control process was received.
+    pub fn note_peer_contact(&self, peer: SocketAddr) {
         let now = self.clock.now();
         self.state().peers.insert(peer, now);
     }
 
-    /// Another control process is connected with an entry daemon, or no longer.
-    pub fn take_peer_edge(&self, peer: SocketAddr, record: &EdgeRecord, is_connected: bool) {
+    /// Records that another control process connected with an entry daemon or lost the
+    /// connection.
+    pub fn note_peer_edge(&self, peer: SocketAddr, record: &EdgeRecord, is_connected: bool) {
         let changed = {
             let mut state = self.state();
             if is_connected {
@@ -48,52 +49,55 @@
         }
     }
 
-    /// The connection `number` with an entry daemon is heard, or no longer. The daemon
-    /// may have another one: it makes a new one before it gives up one that is silent.
-    pub fn note_edge(&self, number: u64, record: &EdgeRecord, is_heard: bool) {
-        if self.change_edge_link(number, record, is_heard) {
-            self.tell_edge(record, is_heard);
+    /// Records that the connection `number` with an entry daemon is active or closed. The
+    /// daemon may have two connections: it opens a new one before it closes one that is silent.
+    pub fn note_edge(&self, number: u64, record: &EdgeRecord, is_connected: bool) {
+        if self.change_edge_link(number, record, is_connected) {
+            self.announce_edge(record, is_connected);
         }
     }
 
-    /// The connection `number` with an entry daemon has been silent for long: when it
-    /// has no other, others are to find out whether the daemon serves on.
-    pub fn note_silent_edge(&self, number: u64, record: &EdgeRecord) {
+    /// Records that the connection `number` with an entry daemon timed out. If it was the
+    /// daemon's only one, other daemons probe whether it is still serving.
+    pub fn mark_edge_silent(&self, number: u64, record: &EdgeRecord) {
         if self.change_edge_link(number, record, false) {
-            self.tell_edge(record, false);
+            self.announce_edge(record, false);
             self.suspect_edge(record);
         }
     }
 
-    /// Notes whether a connection is heard, and at once what that means for the daemon:
-    /// a renewal and the end of the old connection may meet. Returns whether the
-    /// directory changed.
-    fn change_edge_link(&self, number: u64, record: &EdgeRecord, is_heard: bool) -> bool {
-        let run = (record.name.clone(), record.incarnation);
+    /// Updates the state of a connection and of its daemon under one lock, because a reconnect
+    /// and the close of the old connection may coincide. Returns whether the directory changed.
+    fn change_edge_link(&self, number: u64, record: &EdgeRecord, is_connected: bool) -> bool {
+        let incarnation_key = (record.name.clone(), record.incarnation);
         let mut state = self.state();
-        if is_heard {
-            state.edge_links.entry(run).or_default().insert(number);
-            return state.directory.connect(self.own, record);
+        if is_connected {
+            state
+                .edge_links
+                .entry(incarnation_key)
+                .or_default()
+                .insert(number);
+            return state.directory.connect(self.local_address, record);
         }
-        let Some(links) = state.edge_links.get_mut(&run) else {
+        let Some(links) = state.edge_links.get_mut(&incarnation_key) else {
             return false;
         };
         links.remove(&number);
         if !links.is_empty() {
             return false;
         }
-        state.edge_links.remove(&run);
+        state.edge_links.remove(&incarnation_key);
         state
             .directory
-            .disconnect(self.own, &record.name, record.incarnation)
+            .disconnect(self.local_address, &record.name, record.incarnation)
     }
 
-    fn tell_edge(&self, record: &EdgeRecord, is_connected: bool) {
+    fn announce_edge(&self, record: &EdgeRecord, is_connected: bool) {
         self.publish_edges();
         info!(target: LOG, edge = record.name, incarnation = record.incarnation,
             phase:? = record.phase, connected = is_connected; "an entry daemon changed");
         if let Some(links) = self.links() {
-            links.tell_all(&PeerMessage::Edge {
+            links.broadcast(&PeerMessage::Edge {
                 record: record.clone(),
                 is_connected,
             });
@@ -102,10 +106,10 @@
 
     fn publish_edges(&self) {
         let names = self.edge_names();
-        self.edges.send_if_modified(|known| {
-            let changed = **known != names;
+        self.edges.send_if_modified(|published| {
+            let changed = **published != names;
             if changed {
-                *known = Arc::new(names);
+                *published = Arc::new(names);
             }
             changed
         });
@@ -117,15 +121,16 @@
         connected.map(|record| record.name.clone()).collect()
     }
 
-    /// Addresses of entry daemons for a client.
+    /// Returns addresses of entry daemons for a client.
     pub fn lookup(&self, region: &RegionId, zone: &ZoneId) -> Vec<SocketAddr> {
         let now = self.clock.now();
         self.state()
             .directory
-            .resolve(now, region, zone, MOST_ADDRESSES, rand::random)
+            .resolve(now, region, zone, MAX_LOOKUP_ADDRESSES, rand::random)
     }
 
-    /// An entry daemon fell silent: others are to find out whether it serves on.
+    /// Marks a silent entry daemon as suspect, so that other daemons probe whether it is
+    /// serving.
     fn suspect_edge(&self, record: &EdgeRecord) {
         let now = self.clock.now();
         self.state().directory.suspect(now, record);
@@ -133,37 +138,37 @@
             "an entry daemon fell silent");
     }
 
-    /// Another entry daemon reached the one that fell silent.
-    pub fn vouch_for_edge(&self, name: &str, incarnation: u64) {
+    /// Records that another entry daemon found the suspect one ready.
+    pub fn confirm_edge_ready(&self, name: &str, incarnation: u64) {
         let now = self.clock.now();
         self.state().directory.vouch(now, name, incarnation);
     }
 
-    /// Asks one entry daemon that is heard for each suspect, another one each time.
+    /// Sends a probe request for each suspect to a connected entry daemon, chosen at random
+    /// each time.
     pub(super) fn probe_suspects(&self, now: Millis) {
-        let (suspects, heard) = {
+        let (suspects, connected) = {
             let mut state = self.state();
-            let heard: Vec<u64> = state.edge_links.values().flatten().copied().collect();
-            (state.directory.suspects(now), heard)
+            let connected: Vec<u64> = state.edge_links.values().flatten().copied().collect();
+            (state.directory.suspects(now), connected)
         };
         for suspect in suspects {
             let Ok(frame) = encode(&ToEdge::Probe(suspect)) else {
                 continue;
             };
-            let chosen = heard.choose(&mut rand::rng());
-            let followers = self
-                .followers
+            let chosen = connected.choose(&mut rand::rng());
+            let subscribers = self
+                .subscribers
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            if let Some(follower) = chosen.and_then(|number| followers.get(number)) {
-                // A full queue ends the connection at the next news.
-                let _ = follower.frames.try_send(Bytes::from(frame));
+            if let Some(subscriber) = chosen.and_then(|number| subscribers.get(number)) {
+                // A full queue ends the connection at the next update.
+                let _ = subscriber.frames.try_send(Bytes::from(frame));
             }
         }
     }
 
-    /// An entry daemon that this process is connected with told how much of its
-    /// link it uses.
+    /// Records the link utilization that a connected entry daemon reported.
     pub fn note_link_use(&self, record: &EdgeRecord, link_use: LinkUse) {
         self.state()
             .directory
@@ -175,7 +180,9 @@
         let silent: Vec<SocketAddr> = state
             .peers
             .iter()
-            .filter(|(_, heard_at)| now.saturating_sub(**heard_at) > WITNESS_SILENCE_MS)
+            .filter(|(_, last_received_at)| {
+                now.saturating_sub(**last_received_at) > WITNESS_SILENCE_MS
+            })
             .map(|(peer, _)| *peer)
             .collect();
         if silent.is_empty() {
--- a/crates/coursestand-daemon/src/fleet/hub/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/mod.rs
@@ -1,5 +1,5 @@
-//! The soft state of a control process: back ends and entry daemons, merged with
-//! what the other control processes tell, and passed on to entry daemons.
+//! Soft state of a control process: back ends and entry daemons, merged with the updates of the
+//! other control processes and published to entry daemons.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -19,101 +19,100 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::fleet::peer_links::PeerLinks;
-use crate::fleet::wire::{ControlGroup, PeerMessage, Starts, ToEdge};
-use crash_records::CaseDesk;
-use rate_limits::LimitDesk;
+use crate::fleet::wire::{ControlGroup, PeerMessage, StartTimes, ToEdge};
+use crash_records::CrashRecords;
+use rate_limits::RateLimits;
 
 mod crash_records;
 mod edges;
 mod rate_limits;
 
 const LOG: &str = "hub";
-/// News that wait for an entry daemon; one with more is cut off, and gets all
-/// anew when it comes back.
-const FOLLOWER_QUEUE: usize = 1_024;
-/// Longest wait for the other control processes to take an order in.
-const SPREAD_LIMIT: Duration = Duration::from_millis(700);
-/// Heartbeats that a back end may miss before it counts as ended. Entry daemons
-/// find out by themselves long before; this only clears the table.
-const MISSED_HEARTBEATS: Millis = 20;
-
-/// Why an order of a back end was not taken.
+/// Queue length of an entry daemon. If it is full, the daemon is disconnected and receives the
+/// full state when it reconnects.
+const SUBSCRIBER_QUEUE_FRAMES: usize = 1_024;
+/// Timeout for the other control processes to acknowledge a back end's order to leave.
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
+/// Heartbeats that a back end may miss before it is removed. Entry daemons detect its failure
+/// much earlier; this only cleans up the table.
+const MAX_MISSED_HEARTBEATS: Millis = 20;
+
+/// The update of a back end did not reach a majority of the control processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotSpread;
+pub struct NotReplicated;
 
-/// Names of entry daemons, shared by all connections that tell of them.
+/// Names of entry daemons, shared by all connections that announce them.
 pub type EdgeNames = Arc<BTreeSet<String>>;
 
 #[derive(Default)]
 struct SoftState {
     instances: InstanceTable,
     directory: Directory,
-    /// Back ends heard since the last digest.
-    heard: HashSet<BackendId>,
-    /// Connections on which each run of an entry daemon is heard, by its name and
-    /// incarnation.
+    /// Back ends whose heartbeats were received since the last digest.
+    heartbeats_received: HashSet<BackendId>,
+    /// Open connections of each entry daemon, by its name and incarnation.
     edge_links: HashMap<(String, u64), HashSet<u64>>,
-    /// When the other control processes were heard last.
+    /// Time of the last contact with each of the other control processes.
     peers: BTreeMap<SocketAddr, Millis>,
 }
 
-/// What an entry daemon reads besides what all read.
+/// Optional messages that an entry daemon accepts.
 #[derive(Clone, Copy, Debug)]
-pub struct Reads {
-    /// What other daemons found out of back ends.
+pub struct EdgeSubscriptions {
+    /// Findings of other daemons about back ends.
     pub findings: bool,
-    /// What is known of requests under which back ends ended.
-    pub cases: bool,
-    /// What other daemons were told of rate limits.
-    pub limits: bool,
+    /// Crash records of requests.
+    pub crash_records: bool,
+    /// Rate limits that back ends reported to other daemons.
+    pub rate_limits: bool,
 }
 
-/// News on their way to one entry daemon.
-struct EdgeQueue {
+/// An entry daemon that receives updates, with its queue.
+struct EdgeSubscriber {
     frames: mpsc::Sender<Bytes>,
-    reads: Reads,
+    subscriptions: EdgeSubscriptions,
 }
 
-/// The hub of one control process.
+/// The soft state hub of one control process.
 pub struct Hub {
-    own: SocketAddr,
+    local_address: SocketAddr,
     clock: MonotonicClock,
     heartbeat: Millis,
     state: Mutex<SoftState>,
-    followers: Mutex<HashMap<u64, EdgeQueue>>,
-    /// Requests under which back ends ended.
-    cases: Mutex<CaseDesk>,
-    /// Rate limits that back ends named.
-    limits: Mutex<LimitDesk>,
-    numbers: AtomicU64,
+    subscribers: Mutex<HashMap<u64, EdgeSubscriber>>,
+    /// Crash records of requests.
+    crash_records: Mutex<CrashRecords>,
+    /// Rate limits that back ends reported.
+    rate_limits: Mutex<RateLimits>,
+    next_id: AtomicU64,
     links: OnceLock<Arc<PeerLinks>>,
     /// Members of the control group by address.
     controls: watch::Sender<ControlGroup>,
-    /// Names of the entry daemons that are connected.
+    /// Names of the connected entry daemons.
     edges: watch::Sender<EdgeNames>,
 }
 
 impl Hub {
-    /// A hub that knows nothing; `own` is this process's internal address.
-    pub fn new(own: SocketAddr, clock: MonotonicClock, heartbeat: Millis) -> Hub {
+    /// Creates an empty hub; `local_address` is this process's internal address.
+    pub fn new(local_address: SocketAddr, clock: MonotonicClock, heartbeat: Millis) -> Hub {
         Hub {
-            own,
+            local_address,
             clock,
             heartbeat,
             state: Mutex::default(),
-            followers: Mutex::default(),
-            cases: Mutex::new(CaseDesk::new(own)),
-            limits: Mutex::default(),
-            numbers: AtomicU64::new(0),
+            subscribers: Mutex::default(),
+            crash_records: Mutex::new(CrashRecords::new(local_address)),
+            rate_limits: Mutex::default(),
+            next_id: AtomicU64::new(0),
             links: OnceLock::new(),
             controls: watch::Sender::default(),
             edges: watch::Sender::default(),
         }
     }
 
-    /// Tells the hub its connections; called once.
-    pub fn connect(&self, links: Arc<PeerLinks>) {
-        // A second call would change nothing.
+    /// Sets the connections to the other control processes; called once.
+    pub fn set_links(&self, links: Arc<PeerLinks>) {
+        // Fails only if they are set already.
         let _ = self.links.set(links);
     }
 
@@ -125,155 +124,161 @@
         self.links.get()
     }
 
-    /// Members of the control group, as they change.
+    /// Watches the members of the control group.
     pub fn controls(&self) -> watch::Receiver<ControlGroup> {
         self.controls.subscribe()
     }
 
-    /// The control group is this one.
+    /// Sets the members of the control group.
     pub fn set_controls(&self, group: ControlGroup) {
-        self.controls.send_if_modified(|known| {
-            let changed = *known != group;
-            *known = group;
+        self.controls.send_if_modified(|current| {
+            let changed = *current != group;
+            *current = group;
             changed
         });
     }
 
-    /// A heartbeat came. An order to leave is taken once a majority of the
-    /// control processes knows it: every entry daemon follows one of those.
-    pub async fn heartbeat(&self, news: InstanceNews) -> Result<(), NotSpread> {
+    /// Handles a heartbeat. An order to leave succeeds once a majority of the control processes
+    /// has it: every entry daemon is connected with one of these.
+    pub async fn heartbeat(&self, update: InstanceNews) -> Result<(), NotReplicated> {
         let now = self.clock.now();
-        let id = news.instance.id.clone();
-        let leaves = news.instance.phase != InstancePhase::Ready;
-        self.state().heard.insert(id.clone());
-        self.take_news(now, vec![news]);
-        if !leaves {
+        let id = update.instance.id.clone();
+        let is_leaving = update.instance.phase != InstancePhase::Ready;
+        self.state().heartbeats_received.insert(id.clone());
+        self.merge_and_broadcast(now, vec![update]);
+        if !is_leaving {
             return Ok(());
         }
-        let known = self.state().instances.get(&id).map(|known| known.news(now));
-        match known {
-            Some(news) => self.spread_surely(news).await,
-            None => Err(NotSpread),
+        let entry = self.state().instances.get(&id).map(|entry| entry.news(now));
+        match entry {
+            Some(update) => self.replicate_to_majority(update).await,
+            None => Err(NotReplicated),
         }
     }
 
-    /// An incarnation of a back end says that it ends; `born` is its start, if it tells.
-    pub async fn deregister(&self, id: &BackendId, born: Option<Millis>) -> Result<(), NotSpread> {
+    /// Deregisters an incarnation of a back end that stops; `born` is its start, if it reports
+    /// one.
+    pub async fn deregister(
+        &self,
+        id: &BackendId,
+        born: Option<Millis>,
+    ) -> Result<(), NotReplicated> {
         let now = self.clock.now();
-        let known = self.state().instances.get(id).map(|known| known.news(now));
-        let mut news = known.unwrap_or_else(|| unknown_instance(id));
-        news.instance.born = born.or(news.instance.born);
-        news.instance.phase = InstancePhase::Gone;
-        self.take_news(now, vec![news.clone()]);
-        self.spread_surely(news).await
+        let entry = self.state().instances.get(id).map(|entry| entry.news(now));
+        let mut update = entry.unwrap_or_else(|| placeholder_instance(id));
+        update.instance.born = born.or(update.instance.born);
+        update.instance.phase = InstancePhase::Gone;
+        self.merge_and_broadcast(now, vec![update.clone()]);
+        self.replicate_to_majority(update).await
     }
 
-    /// Takes in news that come from another control process.
-    pub fn take_peer_news(&self, news: Vec<InstanceNews>) {
-        self.merge(self.clock.now(), news);
+    /// Merges updates from another control process.
+    pub fn merge_peer_updates(&self, updates: Vec<InstanceNews>) {
+        self.merge(self.clock.now(), updates);
     }
 
-    /// Takes in news that come from a back end, and tells all others.
-    fn take_news(&self, now: Millis, news: Vec<InstanceNews>) {
-        let changed = self.merge(now, news);
+    /// Merges updates from a back end and broadcasts the changes to the other control
+    /// processes.
+    fn merge_and_broadcast(&self, now: Millis, updates: Vec<InstanceNews>) {
+        let changed = self.merge(now, updates);
         if let Some(links) = self.links()
             && !changed.is_empty()
         {
-            links.tell_all(&PeerMessage::Instances {
-                starts: Starts::of(&changed),
-                news: changed,
+            links.broadcast(&PeerMessage::Instances {
+                starts: StartTimes::of(&changed),
+                updates: changed,
                 receipt: None,
             });
         }
     }
 
-    /// Merges news, passes what changed on to entry daemons, and returns it.
-    fn merge(&self, now: Millis, news: Vec<InstanceNews>) -> Vec<InstanceNews> {
+    /// Merges updates, publishes the changed back ends to entry daemons, and returns them.
+    fn merge(&self, now: Millis, updates: Vec<InstanceNews>) -> Vec<InstanceNews> {
         let mut changed = Vec::new();
         {
             let mut state = self.state();
-            for one in news {
-                let ids = state.instances.merge(now, one);
-                let known = ids.iter().filter_map(|id| state.instances.get(id));
-                changed.extend(known.map(|known| known.news(now)));
+            for update in updates {
+                let ids = state.instances.merge(now, update);
+                let entries = ids.iter().filter_map(|id| state.instances.get(id));
+                changed.extend(entries.map(|entry| entry.news(now)));
             }
         }
-        self.pass_on(&changed);
+        self.publish_changes(&changed);
         changed
     }
 
-    fn pass_on(&self, changed: &[InstanceNews]) {
+    fn publish_changes(&self, changed: &[InstanceNews]) {
         if changed.is_empty() {
             return;
         }
-        for news in changed {
-            let instance = &news.instance;
+        for update in changed {
+            let instance = &update.instance;
             info!(target: LOG, instance = instance.id.as_str(), service = instance.service.as_str(),
-                phase:? = instance.phase, born = instance.born, sequence = instance.sequence, cold_ms = news.cold_ms;
+                phase:? = instance.phase, born = instance.born, sequence = instance.sequence, cold_ms = update.cold_ms;
                 "a back end changed");
         }
-        let starts = Starts::of(changed);
-        self.send_to_followers(&ToEdge::Instances(changed.to_vec(), starts));
+        let starts = StartTimes::of(changed);
+        self.send_to_subscribers(&ToEdge::Instances(changed.to_vec(), starts));
     }
 
-    fn send_to_followers(&self, message: &ToEdge) {
+    fn send_to_subscribers(&self, message: &ToEdge) {
         let Ok(frame) = encode(message) else {
             return;
         };
         let frame = Bytes::from(frame);
-        let mut followers = self
-            .followers
+        let mut subscribers = self
+            .subscribers
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        // A full queue ends the connection; the follower then starts anew.
-        followers.retain(|_, follower| follower.frames.try_send(frame.clone()).is_ok());
+        // A full queue ends the connection; the daemon then reconnects and starts over.
+        subscribers.retain(|_, subscriber| subscriber.frames.try_send(frame.clone()).is_ok());
     }
 
-    /// Sends to the followers that read the message, but for the one that it comes from. A
-    /// daemon whose queue is full does without: others may tell it the same, and it is told
-    /// what it lacks when it asks for a trial or a token.
-    fn pass_to_others(&self, from: u64, message: &ToEdge, reads: impl Fn(&EdgeQueue) -> bool) {
+    /// Relays a message to the subscribers that accept it, except for its sender. A daemon with
+    /// a full queue misses the message: other control processes may relay the same, and the
+    /// answer to a request for a trial or a token brings what it lacks.
+    fn relay(&self, from: u64, message: &ToEdge, accepts: impl Fn(&EdgeSubscriber) -> bool) {
         let Ok(frame) = encode(message) else {
             return;
         };
         let frame = Bytes::from(frame);
-        let followers = self
-            .followers
+        let subscribers = self
+            .subscribers
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let others = followers.iter().filter(|(number, _)| **number != from);
-        for (_, follower) in others.filter(|(_, follower)| reads(follower)) {
-            let _ = follower.frames.try_send(frame.clone());
+        let others = subscribers.iter().filter(|(number, _)| **number != from);
+        for (_, subscriber) in others.filter(|(_, subscriber)| accepts(subscriber)) {
+            let _ = subscriber.frames.try_send(frame.clone());
         }
     }
 
-    /// Returns once a majority of the control processes has the news.
-    async fn spread_surely(&self, news: InstanceNews) -> Result<(), NotSpread> {
+    /// Returns once a majority of the control processes has acknowledged the update.
+    async fn replicate_to_majority(&self, update: InstanceNews) -> Result<(), NotReplicated> {
         let members = self.controls.borrow().members.clone();
         let Some(links) = self.links() else {
-            return Err(NotSpread);
+            return Err(NotReplicated);
         };
         if members.is_empty() {
-            return Err(NotSpread);
+            return Err(NotReplicated);
         }
         let needed = members.len() / 2 + 1;
-        let mut have = usize::from(members.contains(&self.own));
+        let mut confirmed = usize::from(members.contains(&self.local_address));
         let mut others: FuturesUnordered<_> = members
             .iter()
-            .filter(|member| **member != self.own)
-            .map(|member| links.tell_surely(*member, vec![news.clone()], SPREAD_LIMIT))
+            .filter(|member| **member != self.local_address)
+            .map(|member| links.send_confirmed(*member, vec![update.clone()], REPLICATION_TIMEOUT))
             .collect();
-        while have < needed {
+        while confirmed < needed {
             match others.next().await {
-                Some(taken) => have += usize::from(taken),
-                None => return Err(NotSpread),
+                Some(is_acknowledged) => confirmed += usize::from(is_acknowledged),
+                None => return Err(NotReplicated),
             }
         }
         Ok(())
     }
 
-    /// Back ends that another control process heard.
-    pub fn take_heard(&self, ids: &[BackendId]) {
+    /// Records heartbeats that another control process received.
+    pub fn note_peer_heartbeats(&self, ids: &[BackendId]) {
         let now = self.clock.now();
         let mut state = self.state();
         for id in ids {
@@ -281,23 +286,30 @@
         }
     }
 
-    /// A queue of news for one entry daemon, with all back ends to begin with.
-    pub fn follow(&self, reads: Reads) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceNews>) {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let (frames, queue) = mpsc::channel(FOLLOWER_QUEUE);
-        let follower = EdgeQueue { frames, reads };
-        // First the queue, then the table: nothing is missed in between.
-        self.followers
+    /// Subscribes an entry daemon. Returns the subscriber's number, its queue, and all back
+    /// ends as initial state.
+    pub fn subscribe(
+        &self,
+        subscriptions: EdgeSubscriptions,
+    ) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceNews>) {
+        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let (frames, queue) = mpsc::channel(SUBSCRIBER_QUEUE_FRAMES);
+        let subscriber = EdgeSubscriber {
+            frames,
+            subscriptions,
+        };
+        // Subscribes before it reads the table, so that no update is missed in between.
+        self.subscribers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(number, follower);
+            .insert(number, subscriber);
         let all = self.all_instances();
         (number, queue, all)
     }
 
-    /// The entry daemon with this queue has gone.
-    pub fn unfollow(&self, number: u64) {
-        self.followers
+    /// Removes a subscriber.
+    pub fn unsubscribe(&self, number: u64) {
+        self.subscribers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&number);
@@ -309,20 +321,20 @@
         state
             .instances
             .iter()
-            .map(|known| known.news(now))
+            .map(|entry| entry.news(now))
             .collect()
     }
 
-    /// What another control process has to know to begin with.
+    /// Returns the initial state for another control process.
     pub fn snapshot(&self) -> Vec<PeerMessage> {
-        let news = self.all_instances();
+        let updates = self.all_instances();
         let mut messages = vec![PeerMessage::Instances {
-            starts: Starts::of(&news),
-            news,
+            starts: StartTimes::of(&updates),
+            updates,
             receipt: None,
         }];
         let state = self.state();
-        for record in state.directory.seen_by(self.own) {
+        for record in state.directory.seen_by(self.local_address) {
             messages.push(PeerMessage::Edge {
                 record: record.clone(),
                 is_connected: true,
@@ -331,17 +343,17 @@
         messages
     }
 
-    /// Regular work: tells the others who was heard, and drops what is silent.
+    /// Periodic work: sends the digest of heartbeats, and removes silent peers and back ends.
     pub fn tick(&self) {
         let now = self.clock.now();
-        let heard: Vec<BackendId> = {
+        let heartbeats_received: Vec<BackendId> = {
             let mut state = self.state();
-            state.heard.drain().collect()
+            state.heartbeats_received.drain().collect()
         };
         if let Some(links) = self.links()
-            && !heard.is_empty()
+            && !heartbeats_received.is_empty()
         {
-            links.tell_all(&PeerMessage::Heard(heard));
+            links.broadcast(&PeerMessage::HeartbeatsReceived(heartbeats_received));
         }
         self.drop_silent_peers(now);
         self.expire_instances(now);
@@ -349,22 +361,24 @@
     }
 
     fn expire_instances(&self, now: Millis) {
-        let silence = MISSED_HEARTBEATS * self.heartbeat;
+        let silence = MAX_MISSED_HEARTBEATS * self.heartbeat;
         let ended: Vec<InstanceNews> = {
             let mut state = self.state();
             let ids = state.instances.expire(now, silence);
-            let known = ids.iter().filter_map(|id| state.instances.get(id));
-            known.map(|known| known.news(now)).collect()
+            let entries = ids.iter().filter_map(|id| state.instances.get(id));
+            entries.map(|entry| entry.news(now)).collect()
         };
-        self.pass_on(&ended);
+        self.publish_changes(&ended);
     }
 
-    /// Back ends that are ready, back ends that leave, and connected entry daemons.
+    /// Returns the numbers of ready back ends, draining back ends and connected entry daemons.
     pub fn counts(&self) -> (usize, usize, usize) {
         let state = self.state();
         let in_phase = |phase| {
-            let known = state.instances.iter();
-            known.filter(|known| known.instance.phase == phase).count()
+            let entries = state.instances.iter();
+            entries
+                .filter(|entry| entry.instance.phase == phase)
+                .count()
         };
         (
             in_phase(InstancePhase::Ready),
@@ -373,23 +387,23 @@
         )
     }
 
-    /// The soft state, for the dump.
+    /// Returns the soft state for the dump.
     pub fn dump(&self) -> Value {
         let now = self.clock.now();
         let state = self.state();
         let instances: Vec<Value> = state
             .instances
             .iter()
-            .map(|known| {
+            .map(|entry| {
                 json!({
-                    "id": known.instance.id,
-                    "service": known.instance.service,
-                    "address": known.instance.address,
-                    "phase": format!("{:?}", known.instance.phase),
-                    "born": known.instance.born,
-                    "sequence": known.instance.sequence,
-                    "cold_ms": known.cold_until.saturating_sub(now),
-                    "heard_ms_ago": now.saturating_sub(known.heard_at),
+                    "id": entry.instance.id,
+                    "service": entry.instance.service,
+                    "address": entry.instance.address,
+                    "phase": format!("{:?}", entry.instance.phase),
+                    "born": entry.instance.born,
+                    "sequence": entry.instance.sequence,
+                    "cold_ms": entry.cold_until.saturating_sub(now),
+                    "heard_ms_ago": now.saturating_sub(entry.heard_at),
                 })
             })
             .collect();
@@ -406,8 +420,8 @@
     }
 }
 
-/// A back end that this process never heard of and that ends.
-fn unknown_instance(id: &BackendId) -> InstanceNews {
+/// Returns a placeholder for a back end that stops without being known here.
+fn placeholder_instance(id: &BackendId) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: id.clone(),
@@ -417,7 +431,7 @@
             zone: ZoneId::default(),
             capacity: 0,
             software: String::new(),
-            // Below every heartbeat: only the phase counts.
+            // Lower than the sequence of any heartbeat, so that only the phase counts.
             sequence: 0,
             phase: InstancePhase::Gone,
         },
--- a/crates/coursestand-daemon/src/fleet/hub/rate_limits.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/rate_limits.rs
@@ -1,5 +1,5 @@
-//! What a control process keeps of rate limits that back ends named: it tells the daemons,
-//! and issues the tokens while it leads.
+//! Rate limits that back ends reported: a control process relays them to entry daemons, and
+//! issues the tokens for them while it leads.
 
 use std::collections::BTreeMap;
 use std::sync::{MutexGuard, PoisonError};
@@ -11,87 +11,88 @@
 use super::Hub;
 use crate::fleet::wire::ToEdge;
 
-/// Back ends whose limits are told to daemons.
-const MOST_BACKENDS: usize = 1_024;
-/// Daemons of which a limit is passed on: as many as make others believe it.
-const REPORTERS: usize = 2;
+/// Maximum number of back ends whose rate limits are relayed to daemons.
+const MAX_BACKENDS: usize = 1_024;
+/// Number of daemons whose report of a limit is relayed: as many as other daemons require
+/// before they apply it.
+const MAX_REPORTERS: usize = 2;
 
-/// A daemon was told a limit.
+/// A limit that a back end reported to a daemon.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     reporter: u64,
     rate: Rate,
-    named_at: Millis,
+    reported_at: Millis,
 }
 
-/// The limits, and the tokens for them.
+/// Reported limits, and the issuer of their tokens.
 #[derive(Default)]
-pub(super) struct LimitDesk {
+pub(super) struct RateLimits {
     issuer: TokenIssuer,
-    /// Term of the lease under which tokens were issued last.
+    /// Term of the lease under which the last token was issued.
     term: Option<u64>,
     reports: BTreeMap<u64, Vec<Report>>,
 }
 
-impl LimitDesk {
-    /// Takes in what a daemon tells. Returns whether other daemons are to hear it.
-    fn take(&mut self, now: Millis, news: &LimitNews) -> bool {
-        let named_at = now.saturating_sub(news.age_ms);
+impl RateLimits {
+    /// Records a daemon's report. Returns whether it is to be relayed to other daemons.
+    fn record(&mut self, now: Millis, update: &LimitNews) -> bool {
+        let reported_at = now.saturating_sub(update.age_ms);
         self.issuer
-            .take_news(now, news.backend, news.rate, named_at);
-        let Some(rate) = news.rate else {
-            self.forget(news.backend, named_at);
+            .take_news(now, update.backend, update.rate, reported_at);
+        let Some(rate) = update.rate else {
+            self.forget(update.backend, reported_at);
             return false;
         };
-        let is_known = self.reports.contains_key(&news.backend);
-        if !is_known && self.reports.len() >= MOST_BACKENDS {
+        let is_known = self.reports.contains_key(&update.backend);
+        if !is_known && self.reports.len() >= MAX_BACKENDS {
             return false;
         }
-        let reports = self.reports.entry(news.backend).or_default();
+        let reports = self.reports.entry(update.backend).or_default();
         let is_lower = reports.iter().all(|report| rate < report.rate);
         let is_new = reports
             .iter()
-            .all(|report| report.reporter != news.reporter);
-        let is_needed = is_lower || (is_new && reports.len() < REPORTERS);
-        reports.retain(|report| report.reporter != news.reporter);
+            .all(|report| report.reporter != update.reporter);
+        let is_needed = is_lower || (is_new && reports.len() < MAX_REPORTERS);
+        reports.retain(|report| report.reporter != update.reporter);
         reports.push(Report {
-            reporter: news.reporter,
+            reporter: update.reporter,
             rate,
-            named_at,
+            reported_at,
         });
-        if reports.len() > REPORTERS {
+        if reports.len() > MAX_REPORTERS {
             reports.remove(0);
         }
         is_needed
     }
 
-    /// The limit of a back end was lifted: what was told before no longer holds.
+    /// Drops the reports that precede the lifting of a back end's limit.
     fn forget(&mut self, backend: u64, lifted_at: Millis) {
         if let Some(reports) = self.reports.get_mut(&backend) {
-            reports.retain(|report| report.named_at > lifted_at);
+            reports.retain(|report| report.reported_at > lifted_at);
             if reports.is_empty() {
                 self.reports.remove(&backend);
             }
         }
     }
 
-    /// What a daemon that connects has to know.
-    fn told(&self, now: Millis) -> Vec<LimitNews> {
+    /// Returns the reports for a daemon that connects.
+    fn updates(&self, now: Millis) -> Vec<LimitNews> {
         let reports = self.reports.iter();
-        let told = reports.flat_map(|(backend, reports)| {
+        let updates = reports.flat_map(|(backend, reports)| {
             reports.iter().map(|report| LimitNews {
                 reporter: report.reporter,
                 backend: *backend,
                 rate: Some(report.rate),
-                age_ms: now.saturating_sub(report.named_at),
+                age_ms: now.saturating_sub(report.reported_at),
             })
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// Decides about a token under the lease of this term. What the leader of another term
-    /// issued isn't known.
-    fn ask(&mut self, now: Millis, request: &TokenRequest, term: u64) -> TokenVerdict {
+    /// Decides on a token under the lease of this term. On a new term the issuer starts over:
+    /// the tokens that the leader of another term issued are unknown.
+    fn issue(&mut self, now: Millis, request: &TokenRequest, term: u64) -> TokenVerdict {
         if self.term != Some(term) {
             self.term = Some(term);
             self.issuer.begin(now);
@@ -101,43 +102,47 @@
 }
 
 impl Hub {
-    fn limits(&self) -> MutexGuard<'_, LimitDesk> {
-        self.limits.lock().unwrap_or_else(PoisonError::into_inner)
+    fn rate_limits(&self) -> MutexGuard<'_, RateLimits> {
+        self.rate_limits
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what the entry daemon with this queue was told of rate limits, and passes on
-    /// what others need to hear.
-    pub fn take_limits(&self, from: u64, mut told: Vec<LimitNews>) {
+    /// Records the rate limits that the entry daemon with this queue reported, and relays those
+    /// that other daemons need.
+    pub fn merge_rate_limits(&self, from: u64, mut updates: Vec<LimitNews>) {
         let now = self.clock.now();
         {
-            let mut limits = self.limits();
-            told.retain(|news| limits.take(now, news));
+            let mut rate_limits = self.rate_limits();
+            updates.retain(|update| rate_limits.record(now, update));
         }
-        if !told.is_empty() {
-            let message = ToEdge::Limits(told);
-            self.pass_to_others(from, &message, |follower| follower.reads.limits);
+        if !updates.is_empty() {
+            let message = ToEdge::Limits(updates);
+            self.relay(from, &message, |subscriber| {
+                subscriber.subscriptions.rate_limits
+            });
         }
     }
 
-    /// The limits, for an entry daemon that connects.
-    pub fn told_limits(&self) -> Vec<LimitNews> {
-        self.limits().told(self.clock.now())
+    /// Returns the reported limits for an entry daemon that connects.
+    pub fn shared_rate_limits(&self) -> Vec<LimitNews> {
+        self.rate_limits().updates(self.clock.now())
     }
 
-    /// Answers an entry daemon that wants a token, if the replica leads; `term` is that of its
+    /// Answers an entry daemon's token request if this replica leads; `term` is that of its
     /// lease.
     pub fn answer_token(&self, request: &TokenRequest, term: Option<u64>) -> Option<TokenVerdict> {
         let now = self.clock.now();
-        Some(self.limits().ask(now, request, term?))
+        Some(self.rate_limits().issue(now, request, term?))
     }
 
-    /// Back ends that have a rate limit, as far as this process knows.
+    /// Returns the number of back ends with a known rate limit.
     pub fn limited_backends(&self) -> usize {
-        self.limits().issuer.limited()
+        self.rate_limits().issuer.limited()
     }
 
-    /// The tokens, for the dump.
-    pub fn token_views(&self) -> Vec<BucketView> {
-        self.limits().issuer.views()
+    /// Returns the token buckets for the dump.
+    pub fn token_bucket_views(&self) -> Vec<BucketView> {
+        self.rate_limits().issuer.views()
     }
 }
