--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections of other control processes and of entry daemons.
+//! Accepts connections of other control processes and of entry daemons.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,76 +22,85 @@
 use crate::control::handle::ControlHandle;
 use crate::control::peers::Envelope;
 use crate::control::shared::{ControlShared, LogReach};
-use crate::fleet::catalog_updates::{CatalogTelling, Telling};
+use crate::fleet::catalog_updates::{CatalogDistribution, CatalogMessage};
 use crate::fleet::formation::Formation;
-use crate::fleet::hub::{EdgeNames, Hub, Reads};
+use crate::fleet::hub::{EdgeNames, EdgeSubscriptions, Hub};
 use crate::fleet::report_limit::ReportLimit;
 use crate::fleet::wire::{
-    Answer, EdgeChange, PeerMessage, PeerReply, Question, Starts, ToControl, ToEdge, TrailingFlag,
+    Answer, EdgeChanges, PeerMessage, PeerReply, Question, StartTimes, ToControl, ToEdge,
+    TrailingFlag,
 };
 
 const LOG: &str = "mesh";
-/// A peer that sends nothing for this long is lost.
-const SILENCE: Duration = Duration::from_millis(3_000);
-/// An entry daemon that gave no sign of life for this long, twice the time between two,
-/// is not named in look-ups unless another daemon reaches it.
-const EDGE_SUSPICION: Duration = Duration::from_millis(2_000);
-/// An entry daemon's connection is given up after this silence. Behind a full link what
-/// it says comes late, and a new connection would begin with all there is to tell.
-const EDGE_SILENCE: Duration = Duration::from_millis(10_000);
-/// Replies that wait to be sent.
-const REPLY_QUEUE: usize = 1_024;
-/// Changes of the connected entry daemons are told at most this often.
-const EDGES_PAUSE: Duration = Duration::from_millis(200);
+/// A peer that sends nothing for this long is disconnected.
+const PEER_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// An entry daemon that was silent for this long, two ping intervals, is left out of look-ups
+/// unless another daemon reaches it.
+const EDGE_SUSPECT_AFTER: Duration = Duration::from_millis(2_000);
+/// An entry daemon that was silent for this long is disconnected. The limit is high because a
+/// saturated link delays its messages, and a new connection starts with the full state.
+const EDGE_TIMEOUT: Duration = Duration::from_millis(10_000);
+/// Queue length of replies to a peer.
+const REPLY_QUEUE_MESSAGES: usize = 1_024;
+/// Shortest time between two messages about changes of the connected entry daemons.
+const EDGE_CHANGES_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What connections are served with.
-pub struct Serving {
+/// Components that serve connections.
+pub struct ConnectionContext {
     /// The replica of the control group.
     pub control: Arc<ControlHandle>,
-    /// The soft state.
+    /// Soft state of back ends and entry daemons.
     pub hub: Arc<Hub>,
-    /// Takes replicas into the group.
+    /// Adds replicas to the group.
     pub formation: Arc<Formation>,
 }
 
-/// Accepts connections until it is dropped; they live as long as `tasks`.
-pub async fn accept(listener: TcpListener, serving: Arc<Serving>, tasks: Arc<Tasks>) {
+/// Accepts connections until it is dropped; their tasks belong to `tasks`.
+pub async fn accept(listener: TcpListener, context: Arc<ConnectionContext>, tasks: Arc<Tasks>) {
     loop {
         match listener.accept().await {
             Ok((connection, _)) => {
-                let serving = Arc::clone(&serving);
+                let context = Arc::clone(&context);
                 tasks.start(async move {
-                    if let Err(error) = serve(connection, &serving).await {
-                        debug!(target: LOG, "a connection ended: {error}");
+                    if let Err(error) = serve(connection, &context).await {
+                        debug!(target: LOG, "connection closed: {error}");
                     }
                 });
             }
             Err(error) => {
-                warn!(target: LOG, "no connection was accepted: {error}");
+                warn!(target: LOG, "cannot accept a connection: {error}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-async fn serve(connection: TcpStream, serving: &Arc<Serving>) -> Result<(), StreamError> {
-    // The first message tells what is sent back on the connection.
+async fn serve(connection: TcpStream, context: &Arc<ConnectionContext>) -> Result<(), StreamError> {
+    // The first message determines the type of the messages that are sent on the connection.
     let (mut receiver, sender) = stream::split::<ToControl, ()>(connection)?;
-    match receiver.next_within(EDGE_SILENCE).await? {
-        ToControl::PeerHello(peer) => serve_peer(peer, receiver, sender.retyped(), serving).await,
+    match receiver.next_within(EDGE_TIMEOUT).await? {
+        ToControl::PeerHello(peer) => serve_peer(peer, receiver, sender.retyped(), context).await,
         ToControl::EdgeHello {
             record,
-            have,
+            catalog_version,
             reads_findings: TrailingFlag(findings),
-            reads_cases: TrailingFlag(cases),
-            reads_limits: TrailingFlag(limits),
+            reads_crash_records: TrailingFlag(crash_records),
+            reads_limits: TrailingFlag(rate_limits),
         } => {
-            let reads = Reads {
+            let subscriptions = EdgeSubscriptions {
                 findings,
-                cases,
-                limits,
+                crash_records,
+                rate_limits,
             };
-            serve_edge(record, have, reads, receiver, sender.retyped(), serving).await
+            serve_edge(
+                record,
+                catalog_version,
+                subscriptions,
+                receiver,
+                sender.retyped(),
+                context,
+            )
+            .await
         }
         _ => Err(StreamError::Ended),
     }
@@ -101,76 +110,78 @@
     peer: SocketAddr,
     mut receiver: Receiver<ToControl>,
     mut sender: Sender<PeerReply>,
-    serving: &Arc<Serving>,
+    context: &Arc<ConnectionContext>,
 ) -> Result<(), StreamError> {
-    let (replies, mut queue) = mpsc::channel::<PeerReply>(REPLY_QUEUE);
-    if let Some(links) = serving.formation.links() {
-        links.keep(peer);
+    let (replies, mut queue) = mpsc::channel::<PeerReply>(REPLY_QUEUE_MESSAGES);
+    if let Some(links) = context.formation.links() {
+        links.ensure_link(peer);
     }
-    let mut heard_at = Instant::now();
+    let mut last_received_at = Instant::now();
     loop {
         tokio::select! {
             message = receiver.next() => {
-                heard_at = Instant::now();
-                serving.hub.heard_peer(peer);
+                last_received_at = Instant::now();
+                context.hub.note_peer_contact(peer);
                 match message? {
                     ToControl::Ping => sender.send(&PeerReply::Pong).await?,
-                    ToControl::Peer(message) => take_peer(peer, message, serving, &replies),
+                    ToControl::Peer(message) => handle_peer_message(peer, message, context, &replies),
                     _ => return Err(StreamError::Ended),
                 }
             }
             Some(reply) = queue.recv() => sender.send(&reply).await?,
-            () = tokio::time::sleep_until(heard_at + SILENCE) => {
-                return Err(StreamError::Silent { limit_ms: SILENCE.as_millis() });
+            () = tokio::time::sleep_until(last_received_at + PEER_TIMEOUT) => {
+                return Err(StreamError::Silent { limit_ms: PEER_TIMEOUT.as_millis() });
             }
         }
     }
 }
 
-fn take_peer(
+fn handle_peer_message(
     peer: SocketAddr,
     message: PeerMessage,
-    serving: &Arc<Serving>,
+    context: &Arc<ConnectionContext>,
     replies: &mpsc::Sender<PeerReply>,
 ) {
     match message {
-        PeerMessage::Consensus(bytes) => take_consensus(&serving.control, &bytes),
+        PeerMessage::Consensus(bytes) => deliver_consensus(&context.control, &bytes),
         PeerMessage::Instances {
-            news,
+            updates,
             receipt,
             starts,
         } => {
-            serving.hub.take_peer_news(starts.join(news));
+            context.hub.merge_peer_updates(starts.join(updates));
             if let Some(receipt) = receipt {
-                // A lost receipt is like a lost message: the sender tries again.
-                let _ = replies.try_send(PeerReply::Taken(receipt));
+                // A lost acknowledgement is like a lost message: the sender times out and tries
+                // again.
+                let _ = replies.try_send(PeerReply::Received(receipt));
             }
         }
-        PeerMessage::Heard(ids) => serving.hub.take_heard(&ids),
+        PeerMessage::HeartbeatsReceived(ids) => context.hub.note_peer_heartbeats(&ids),
         PeerMessage::Edge {
             record,
             is_connected,
-        } => serving.hub.take_peer_edge(peer, &record, is_connected),
+        } => context.hub.note_peer_edge(peer, &record, is_connected),
         PeerMessage::Ask { number, question } => {
-            let serving = Arc::clone(serving);
+            let context = Arc::clone(context);
             let replies = replies.clone();
             tokio::spawn(async move {
-                let answer = answer(&serving, *question).await;
+                let answer = answer(&context, *question).await;
                 let _ = replies.send(PeerReply::Answer { number, answer }).await;
             });
         }
     }
 }
 
-fn take_consensus(control: &ControlHandle, bytes: &[u8]) {
+fn deliver_consensus(control: &ControlHandle, bytes: &[u8]) {
     let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
         return;
     };
-    let own = control.shared.status().identity;
-    let is_for_us =
-        own.is_some_and(|own| own.cluster == envelope.cluster && own.replica == envelope.to);
+    let identity = control.shared.status().identity;
+    let is_for_us = identity.is_some_and(|identity| {
+        identity.cluster == envelope.cluster && identity.replica == envelope.to
+    });
     if is_for_us {
-        // A driver that stopped takes nothing.
+        // Fails only if the driver has stopped.
         let _ = control.deliver(Event::Message {
             from: envelope.from,
             message: envelope.message,
@@ -178,18 +189,18 @@
     }
 }
 
-async fn answer(serving: &Serving, question: Question) -> Answer {
+async fn answer(context: &ConnectionContext, question: Question) -> Answer {
     match question {
-        Question::Propose(command) => propose(&serving.control, command).await,
-        Question::ReadCatalog => match read_catalog(&serving.control) {
+        Question::Propose(command) => propose(&context.control, command).await,
+        Question::ReadCatalog => match read_catalog(&context.control) {
             Some(catalog) => Answer::Catalog(catalog.delta(0)),
             None => Answer::NotLeader,
         },
-        Question::Join { address, replica } => serving.formation.admit(address, replica),
+        Question::Join { address, replica } => context.formation.admit(address, replica),
     }
 }
 
-/// Commits a command on this replica, if it leads.
+/// Commits a command on this replica, if it is the leader.
 pub async fn propose(control: &ControlHandle, command: Command) -> Answer {
     match control.propose(command).await {
         Ok(answer) => Answer::Command(answer),
@@ -198,75 +209,77 @@
     }
 }
 
-/// The newest catalog there is, if this replica leads.
+/// Returns the newest catalog, if this replica is the leader.
 pub fn read_catalog(control: &ControlHandle) -> Option<Catalog> {
     let catalog = control.shared.state().catalog().clone();
-    // Checked after the copy: nobody else can have committed before it.
+    // Checked after the copy, so that no other leader can have committed before it.
     control.shared.leading_term().map(|_| catalog)
 }
 
 async fn serve_edge(
     mut record: EdgeRecord,
-    have: u64,
-    reads: Reads,
+    catalog_version: u64,
+    subscriptions: EdgeSubscriptions,
     mut receiver: Receiver<ToControl>,
     mut sender: Sender<ToEdge>,
-    serving: &Arc<Serving>,
+    context: &Arc<ConnectionContext>,
 ) -> Result<(), StreamError> {
-    let hub = &serving.hub;
-    sender.bear_silence(EDGE_SILENCE)?;
-    if reads.findings {
+    let hub = &context.hub;
+    sender.bear_silence(EDGE_TIMEOUT)?;
+    if subscriptions.findings {
         sender.send(&ToEdge::Findings(Vec::new())).await?;
     }
-    let (number, queue, instances) = hub.follow(reads);
-    if reads.cases {
-        sender.send(&ToEdge::Cases(hub.told_cases())).await?;
+    let (number, queue, instances) = hub.subscribe(subscriptions);
+    if subscriptions.crash_records {
+        sender
+            .send(&ToEdge::CrashRecords(hub.shared_crash_records()))
+            .await?;
     }
     hub.note_edge(number, &record, true);
-    let mut follower = EdgeConnection {
-        serving,
+    let mut connection = EdgeConnection {
+        context,
         number,
         queue,
-        catalog: CatalogTelling::new(have),
-        catalog_at: Instant::now(),
-        reads_limits: reads.limits,
+        catalog: CatalogDistribution::new(catalog_version),
+        next_push_at: Instant::now(),
+        accepts_rate_limits: subscriptions.rate_limits,
         findings: ReportLimit::default(),
-        cases: ReportLimit::default(),
-        limits: ReportLimit::default(),
+        crash_records: ReportLimit::default(),
+        rate_limits: ReportLimit::default(),
         tokens: ReportLimit::default(),
     };
-    let result = follower
+    let result = connection
         .run(&mut record, instances, &mut receiver, &mut sender)
         .await;
-    hub.unfollow(number);
+    hub.unsubscribe(number);
     hub.note_edge(number, &record, false);
     if let Err(error) = &result {
         info!(target: LOG, edge = record.name, incarnation = record.incarnation,
-            catalog = follower.catalog.have(); "an entry daemon's connection ended: {error}");
+            catalog = connection.catalog.version_sent(); "connection of an entry daemon closed: {error}");
     }
     result
 }
 
-fn change_between(before: &EdgeNames, now: &EdgeNames) -> EdgeChange {
-    EdgeChange {
-        came: now.difference(before).cloned().collect(),
-        went: before.difference(now).cloned().collect(),
+fn edge_changes(before: &EdgeNames, now: &EdgeNames) -> EdgeChanges {
+    EdgeChanges {
+        added: now.difference(before).cloned().collect(),
+        removed: before.difference(now).cloned().collect(),
     }
 }
 
 struct EdgeConnection<'a> {
-    serving: &'a Serving,
-    /// Of this connection among the hub's.
+    context: &'a ConnectionContext,
+    /// Number of this subscriber in the hub.
     number: u64,
     queue: mpsc::Receiver<bytes::Bytes>,
-    /// What the daemon was told of the catalog.
-    catalog: CatalogTelling,
-    /// When it may be told the next change unasked.
-    catalog_at: Instant,
-    reads_limits: bool,
+    /// State of the catalog distribution to the daemon.
+    catalog: CatalogDistribution,
+    /// When the next catalog change may be pushed.
+    next_push_at: Instant,
+    accepts_rate_limits: bool,
     findings: ReportLimit,
-    cases: ReportLimit,
-    limits: ReportLimit,
+    crash_records: ReportLimit,
+    rate_limits: ReportLimit,
     tokens: ReportLimit,
 }
 
@@ -278,76 +291,78 @@
         receiver: &mut Receiver<ToControl>,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
-        let hub = &self.serving.hub;
-        let mut catalog = self.serving.control.shared.catalog_versions();
+        let hub = &self.context.hub;
+        let mut catalog = self.context.control.shared.catalog_versions();
         let mut controls = hub.controls();
         let mut edges = hub.edges();
-        // The catalog comes before the many back ends: it must be in force soon. The
-        // first answer to a sign of life follows all of this: with it the daemon counts
-        // as connected, and must know the others by then.
+        // The catalog precedes the back ends, of which there are many, because it has to be in
+        // force soon. The first answer to a ping follows all of this: it makes the daemon count
+        // as connected, and by then the daemon must know the others.
         let group = controls.borrow_and_update().clone();
         sender.send(&ToEdge::Controls(group)).await?;
         catalog.borrow_and_update();
         self.send_catalog(sender).await?;
-        let mut told = Arc::clone(&edges.borrow_and_update());
-        let all = change_between(&EdgeNames::default(), &told);
+        let mut known_edges = Arc::clone(&edges.borrow_and_update());
+        let all = edge_changes(&EdgeNames::default(), &known_edges);
         sender.send(&ToEdge::Edges(all)).await?;
-        let starts = Starts::of(&instances);
+        let starts = StartTimes::of(&instances);
         sender.send(&ToEdge::Instances(instances, starts)).await?;
-        if self.reads_limits {
-            // Named by incarnation, so that the back ends go first.
-            sender.send(&ToEdge::Limits(hub.told_limits())).await?;
+        if self.accepts_rate_limits {
+            // Limits refer to incarnations, so the back ends come first.
+            sender
+                .send(&ToEdge::Limits(hub.shared_rate_limits()))
+                .await?;
         }
-        let mut heard_at = Instant::now();
+        let mut last_received_at = Instant::now();
         let mut is_suspect = false;
-        let mut edges_at = Instant::now() + EDGES_PAUSE;
-        let mut tells_edges = false;
-        let mut tells_catalog = false;
+        let mut next_edges_at = Instant::now() + EDGE_CHANGES_INTERVAL;
+        let mut has_edge_changes = false;
+        let mut has_catalog_changes = false;
         loop {
             tokio::select! {
-                // What the daemon says counts before its silence, and the catalog goes
-                // before the news of back ends.
+                // Messages of the daemon are handled before its timeouts, and the catalog is
+                // sent before updates of back ends.
                 biased;
                 message = receiver.next() => {
                     let message = message?;
-                    heard_at = Instant::now();
+                    last_received_at = Instant::now();
                     if is_suspect {
                         is_suspect = false;
                         hub.note_edge(self.number, record, true);
                     }
                     match message {
-                        ToControl::FoundReady { name, incarnation } => {
-                            hub.vouch_for_edge(&name, incarnation);
+                        ToControl::ProbeSucceeded { name, incarnation } => {
+                            hub.confirm_edge_ready(&name, incarnation);
                         }
                         ToControl::EdgePing(link_use) => {
                             hub.note_link_use(record, link_use);
                             self.answer_ping(sender).await?;
                         }
                         ToControl::Findings(findings) => {
-                            let taken = self.findings.take(findings);
-                            hub.pass_findings(self.number, taken);
+                            let accepted = self.findings.accept_within_limit(findings);
+                            hub.relay_findings(self.number, accepted);
                         }
-                        ToControl::Cases(cases) => {
-                            let taken = self.cases.take(cases);
-                            hub.take_cases(self.number, &taken);
+                        ToControl::CrashRecords(crash_records) => {
+                            let accepted = self.crash_records.accept_within_limit(crash_records);
+                            hub.merge_crash_records(self.number, &accepted);
                         }
-                        ToControl::AskForTrial(case) => {
-                            self.answer_trial(case, sender).await?;
+                        ToControl::RequestTrial(crash_record) => {
+                            self.answer_trial(crash_record, sender).await?;
                         }
-                        ToControl::Limits(limits) => {
-                            let taken = self.limits.take(limits);
-                            hub.take_limits(self.number, taken);
+                        ToControl::Limits(rate_limits) => {
+                            let accepted = self.rate_limits.accept_within_limit(rate_limits);
+                            hub.merge_rate_limits(self.number, accepted);
                         }
-                        ToControl::AskForToken { number, request } => {
+                        ToControl::RequestToken { number, request } => {
                             self.answer_token(number, request, sender).await?;
                         }
-                        ToControl::Have(have) => self.catalog.note_have(have),
-                        ToControl::FetchCatalog(have) => {
-                            self.send_fetched(have, sender).await?;
+                        ToControl::HaveCatalog(catalog_version) => self.catalog.note_version(catalog_version),
+                        ToControl::FetchCatalog(catalog_version) => {
+                            self.send_fetched(catalog_version, sender).await?;
                         }
-                        ToControl::PartTaken(version) => {
-                            if let Some(part) = self.catalog.part_taken(version) {
-                                send_telling(part, sender).await?;
+                        ToControl::PartReceived(version) => {
+                            if let Some(part) = self.catalog.part_received(version) {
+                                send_catalog_message(part, sender).await?;
                             }
                         }
                         ToControl::Edge(next) => {
@@ -357,14 +372,14 @@
                         _ => return Err(StreamError::Ended),
                     }
                 }
-                changed = catalog.changed(), if !tells_catalog => {
+                changed = catalog.changed(), if !has_catalog_changes => {
                     if changed.is_err() {
                         return Err(StreamError::Ended);
                     }
-                    tells_catalog = true;
+                    has_catalog_changes = true;
                 }
-                () = tokio::time::sleep_until(self.catalog_at), if tells_catalog => {
-                    tells_catalog = false;
+                () = tokio::time::sleep_until(self.next_push_at), if has_catalog_changes => {
+                    has_catalog_changes = false;
                     catalog.borrow_and_update();
                     self.send_catalog(sender).await?;
                 }
@@ -375,61 +390,64 @@
                     let group = controls.borrow_and_update().clone();
                     sender.send(&ToEdge::Controls(group)).await?;
                 }
-                changed = edges.changed(), if !tells_edges => {
+                changed = edges.changed(), if !has_edge_changes => {
                     if changed.is_err() {
                         return Err(StreamError::Ended);
                     }
-                    tells_edges = true;
+                    has_edge_changes = true;
                 }
-                () = tokio::time::sleep_until(edges_at), if tells_edges => {
-                    tells_edges = false;
-                    edges_at = Instant::now() + EDGES_PAUSE;
+                () = tokio::time::sleep_until(next_edges_at), if has_edge_changes => {
+                    has_edge_changes = false;
+                    next_edges_at = Instant::now() + EDGE_CHANGES_INTERVAL;
                     let now = Arc::clone(&edges.borrow_and_update());
-                    sender.send(&ToEdge::Edges(change_between(&told, &now))).await?;
-                    told = now;
+                    sender.send(&ToEdge::Edges(edge_changes(&known_edges, &now))).await?;
+                    known_edges = now;
                 }
                 frame = self.queue.recv() => match frame {
                     Some(frame) => sender.send_frame(frame).await?,
                     None => return Err(StreamError::Ended),
                 },
-                () = tokio::time::sleep_until(heard_at + EDGE_SUSPICION), if !is_suspect => {
+                () = tokio::time::sleep_until(last_received_at + EDGE_SUSPECT_AFTER), if !is_suspect => {
                     is_suspect = true;
-                    hub.note_silent_edge(self.number, record);
+                    hub.mark_edge_silent(self.number, record);
                 }
-                () = tokio::time::sleep_until(heard_at + EDGE_SILENCE) => {
-                    let limit_ms = EDGE_SILENCE.as_millis();
+                () = tokio::time::sleep_until(last_received_at + EDGE_TIMEOUT) => {
+                    let limit_ms = EDGE_TIMEOUT.as_millis();
                     return Err(StreamError::Silent { limit_ms });
                 }
             }
         }
     }
 
-    /// The same, unless the replica began anew from its disk meanwhile: what was sent
-    /// may then be older.
-    fn still_applied(&self, reach: Option<LogReach>) -> Option<LogReach> {
-        let now = self.serving.control.shared.log_reach()?;
+    /// Returns `reach` unless the replica has restarted from its disk since: what was sent may
+    /// then be older than `reach`.
+    fn reach_unless_restarted(&self, reach: Option<LogReach>) -> Option<LogReach> {
+        let now = self.context.control.shared.log_reach()?;
         reach.filter(|reach| now.applied >= reach.applied)
     }
 
     async fn answer_ping(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
-        // Read first: what it says is applied is then told.
+        // Read first, so that all that it reports as applied is sent before the answer.
         let reach = self.shared().log_reach();
         self.send_catalog(sender).await?;
-        let reach = self.still_applied(reach);
+        let reach = self.reach_unless_restarted(reach);
         let catalog = self.shared().state().catalog().version();
         sender.send(&ToEdge::Pong { reach, catalog }).await
     }
 
-    /// Answers a daemon that wants to try a request, if this replica leads: one process
-    /// decides for all.
+    /// Answers a daemon's trial request if this replica is the leader, so that a single process
+    /// decides for all daemons.
     async fn answer_trial(
         &mut self,
-        case: SharedCase,
+        crash_record: SharedCase,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
-        for case in self.cases.take(vec![case]) {
+        for crash_record in self.crash_records.accept_within_limit(vec![crash_record]) {
             let term = self.shared().leading_term();
-            let verdict = self.serving.hub.answer_trial(self.number, &case, term);
+            let verdict = self
+                .context
+                .hub
+                .answer_trial(self.number, &crash_record, term);
             if let Some(verdict) = verdict {
                 sender.send(&ToEdge::Trial(verdict)).await?;
             }
@@ -437,16 +455,16 @@
         Ok(())
     }
 
-    /// Answers a daemon that wants a token for a rate-limited back end, if this replica leads.
+    /// Answers a daemon's token request if this replica is the leader.
     async fn answer_token(
         &mut self,
         number: u64,
         request: TokenRequest,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
-        for request in self.tokens.take(vec![request]) {
+        for request in self.tokens.accept_within_limit(vec![request]) {
             let term = self.shared().leading_term();
-            if let Some(verdict) = self.serving.hub.answer_token(&request, term) {
+            if let Some(verdict) = self.context.hub.answer_token(&request, term) {
                 sender.send(&ToEdge::Token { number, verdict }).await?;
             }
         }
@@ -454,41 +472,43 @@
     }
 
     async fn send_catalog(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
-        let shared = &self.serving.control.shared;
+        let shared = &self.context.control.shared;
         let version = shared.state().catalog().version();
-        let news = shared.catalog_updates();
-        let telling = self
+        let updates = shared.catalog_updates();
+        let message = self
             .catalog
-            .tell(version, news, |since| read_changes(shared, since));
-        match telling.map_err(unreadable)? {
-            Some(telling) => {
-                self.catalog_at = Instant::now() + self.catalog.pause();
-                send_telling(telling, sender).await
+            .next_message(version, updates, |since| read_changes(shared, since));
+        match message.map_err(message_error)? {
+            Some(message) => {
+                self.next_push_at = Instant::now() + self.catalog.pause();
+                send_catalog_message(message, sender).await
             }
             None => Ok(()),
         }
     }
 
-    /// Sends what the daemon, which has the catalog up to `have`, asks for.
+    /// Sends the changes after `catalog_version` that the daemon requested.
     async fn send_fetched(
         &mut self,
-        have: u64,
+        catalog_version: u64,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
-        let shared = &self.serving.control.shared;
+        let shared = &self.context.control.shared;
         let version = shared.state().catalog().version();
-        let news = shared.catalog_updates();
-        let fetched = self
+        let updates = shared.catalog_updates();
+        let messages = self
             .catalog
-            .fetch(have, version, news, |since| read_changes(shared, since));
-        for telling in fetched.map_err(unreadable)? {
-            send_telling(telling, sender).await?;
+            .fetch(catalog_version, version, updates, |since| {
+                read_changes(shared, since)
+            });
+        for message in messages.map_err(message_error)? {
+            send_catalog_message(message, sender).await?;
         }
         Ok(())
     }
 
     fn shared(&self) -> &ControlShared {
-        &self.serving.control.shared
+        &self.context.control.shared
     }
 }
 
@@ -496,13 +516,16 @@
     shared.state().catalog().steering_delta(since)
 }
 
-fn unreadable(source: TransportError) -> StreamError {
+fn message_error(source: TransportError) -> StreamError {
     StreamError::Message { source }
 }
 
-async fn send_telling(telling: Telling, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
-    match telling {
-        Telling::Frame(frame) => sender.send_frame(frame).await,
-        Telling::Message(message) => sender.send(&message).await,
+async fn send_catalog_message(
+    message: CatalogMessage,
+    sender: &mut Sender<ToEdge>,
+) -> Result<(), StreamError> {
+    match message {
+        CatalogMessage::Frame(frame) => sender.send_frame(frame).await,
+        CatalogMessage::Message(message) => sender.send(&message).await,
     }
 }
--- a/crates/coursestand-daemon/src/fleet/metrics.rs
+++ b/crates/coursestand-daemon/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! Gauges of what the processes of a fleet believe, brought up to date each second.
+//! Gauges of the state of fleet processes, updated every second.
 
 use coursestand_discovery::InstancePhase;
 use prometheus::{GaugeVec, IntCounter, IntGauge, IntGaugeVec, Opts, Registry};
@@ -7,38 +7,38 @@
 
 /// Metrics of a control process.
 pub struct ControlMetrics {
-    leads: IntGauge,
+    is_leader: IntGauge,
     term: IntGauge,
     committed: IntGauge,
     members: IntGauge,
     catalog: IntGauge,
     instances: IntGaugeVec,
     edges: IntGauge,
-    limited: IntGauge,
-    /// Heartbeats of back ends that came to this process.
+    rate_limited_backends: IntGauge,
+    /// Heartbeats of back ends received by this process.
     pub heartbeats: IntCounter,
-    /// Orders of operators answered with success.
+    /// Operators' orders answered with success.
     pub orders: IntCounter,
-    /// Calls that could not be understood; nothing of them took effect.
+    /// Calls that could not be parsed; none of them took effect.
     pub refused: IntCounter,
 }
 
-/// What a control process counts at one moment.
+/// Current counts of a control process.
 pub struct ControlCounts {
-    /// The replica.
+    /// Status of the replica.
     pub status: ReplicaStatus,
-    /// Whether it leads with a lease.
-    pub leads: bool,
-    /// Newest change of the catalog.
+    /// Whether the replica leads with a lease.
+    pub is_leader: bool,
+    /// Newest catalog version.
     pub catalog: u64,
-    /// Back ends that are ready and draining.
+    /// Back ends that are ready.
     pub ready: usize,
-    /// Back ends that leave.
+    /// Back ends that are draining.
     pub draining: usize,
     /// Connected entry daemons.
     pub edges: usize,
-    /// Back ends that named a rate limit.
-    pub limited: usize,
+    /// Back ends that reported a rate limit.
+    pub rate_limited_backends: usize,
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
@@ -64,7 +64,7 @@
 }
 
 impl ControlMetrics {
-    /// Metrics known to `registry`.
+    /// Creates the metrics and registers them with `registry`; fails if a name is taken.
     pub fn new(registry: &Registry) -> Result<ControlMetrics, prometheus::Error> {
         let instances = IntGaugeVec::new(
             Opts::new("coursestand_backends", "Back ends by phase"),
@@ -74,39 +74,40 @@
         let gauge = |name, help| gauge(registry, name, help);
         let counter = |name, help| counter(registry, name, help);
         Ok(ControlMetrics {
-            leads: gauge("coursestand_control_leads", "1 while this replica leads")?,
-            term: gauge("coursestand_control_term", "Number of the election")?,
-            committed: gauge("coursestand_control_committed", "Last committed entry")?,
-            members: gauge("coursestand_control_voters", "Voters of the control group")?,
-            catalog: gauge(
-                "coursestand_catalog_version",
-                "Newest change of the catalog",
+            is_leader: gauge("coursestand_control_leads", "1 while this replica leads")?,
+            term: gauge("coursestand_control_term", "Consensus term")?,
+            committed: gauge(
+                "coursestand_control_committed",
+                "Index of the last committed log entry",
             )?,
+            members: gauge("coursestand_control_voters", "Voters of the control group")?,
+            catalog: gauge("coursestand_catalog_version", "Newest catalog version")?,
             instances,
-            edges: gauge("coursestand_edges", "Entry daemons that are connected")?,
-            limited: gauge(
+            edges: gauge("coursestand_edges", "Connected entry daemons")?,
+            rate_limited_backends: gauge(
                 "coursestand_control_rate_limited_backends",
-                "Back ends that named a rate limit",
+                "Back ends that reported a rate limit",
             )?,
             heartbeats: counter("coursestand_heartbeats_total", "Heartbeats of back ends")?,
             orders: counter("coursestand_orders_total", "Orders acknowledged")?,
             refused: counter(
                 "coursestand_calls_refused_total",
-                "Calls that could not be understood",
+                "Calls that could not be parsed",
             )?,
         })
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub fn update(&self, counts: &ControlCounts) {
         let voters = counts.status.members.iter().filter(|member| member.voter);
-        self.leads.set(i64::from(counts.leads));
+        self.is_leader.set(i64::from(counts.is_leader));
         self.term.set(counts.status.term as i64);
         self.committed.set(counts.status.commit as i64);
         self.members.set(voters.count() as i64);
         self.catalog.set(counts.catalog as i64);
         self.edges.set(counts.edges as i64);
-        self.limited.set(counts.limited as i64);
+        self.rate_limited_backends
+            .set(counts.rate_limited_backends as i64);
         for (phase, count) in [
             (InstancePhase::Ready, counts.ready),
             (InstancePhase::Draining, counts.draining),
@@ -119,72 +120,82 @@
     }
 }
 
-/// Metrics of an entry daemon's beliefs.
+/// Metrics of an entry daemon's state.
 pub struct EdgeMetrics {
-    /// Newest change of the catalog.
+    /// Newest catalog version in force.
     pub catalog: IntGauge,
-    /// Back ends that it knows and that have not ended.
+    /// Known back ends that have not stopped.
     pub backends: IntGauge,
-    /// Back ends among them that are cold.
+    /// Known back ends that are cold.
     pub cold: IntGauge,
-    /// Back ends among them that are left out for their failures.
+    /// Known back ends that are ejected for their failures.
     pub ejected: IntGauge,
-    /// Back ends among them that asked for a back-off.
+    /// Known back ends that asked for a back-off.
     pub backing_off: IntGauge,
-    /// Back ends among them that named a rate limit.
+    /// Known back ends that reported a rate limit.
     pub rate_limited: IntGauge,
-    /// Requests under which back ends ended, that are not rejected.
+    /// Suspect requests: back ends crashed while they were in flight, but they are not
+    /// quarantined.
     pub suspects: IntGauge,
-    /// Requests that are rejected because back ends ended under them.
-    pub convicted: IntGauge,
+    /// Quarantined requests: rejected because back ends crashed while they were in flight.
+    pub quarantined: IntGauge,
     /// Idle connections to back ends.
     pub idle: IntGauge,
-    /// Use of the machine's link in percent.
+    /// Utilization of the machine's link in percent.
     pub link_use: IntGauge,
-    /// Entry daemons among which the fixed allowance for retries is divided.
+    /// Entry daemons that share the fixed allowance for retries.
     pub retry_daemons: IntGauge,
-    /// Retries that are left, by service.
+    /// Remaining retries by service.
     pub retry_budget: GaugeVec,
-    /// Retries held back for copies that may still arrive, by service.
-    pub held_retries: GaugeVec,
+    /// Retries withheld for copies that may still arrive, by service.
+    pub withheld_retries: GaugeVec,
 }
 
 impl EdgeMetrics {
-    /// Metrics known to `registry`.
+    /// Creates the metrics and registers them with `registry`; fails if a name is taken.
     pub fn new(registry: &Registry) -> Result<EdgeMetrics, prometheus::Error> {
         let by_service = |name, help| gauge_by_service(registry, name, help);
         let gauge = |name, help| gauge(registry, name, help);
         Ok(EdgeMetrics {
-            catalog: gauge("coursestand_edge_catalog_version", "Change in force here")?,
-            backends: gauge("coursestand_edge_backends", "Back ends known")?,
+            catalog: gauge(
+                "coursestand_edge_catalog_version",
+                "Catalog version in force",
+            )?,
+            backends: gauge("coursestand_edge_backends", "Known back ends")?,
             cold: gauge("coursestand_edge_cold_backends", "Back ends that are cold")?,
-            ejected: gauge("coursestand_edge_ejected_backends", "Back ends left out")?,
+            ejected: gauge(
+                "coursestand_edge_ejected_backends",
+                "Back ends ejected for their failures",
+            )?,
             backing_off: gauge(
                 "coursestand_edge_backing_off_backends",
                 "Back ends that asked for a back-off",
             )?,
             rate_limited: gauge(
                 "coursestand_edge_rate_limited_backends",
-                "Back ends that named a rate limit",
+                "Back ends that reported a rate limit",
             )?,
             suspects: gauge(
                 "coursestand_edge_case_suspects",
-                "Requests under which back ends ended, not rejected",
+                "Requests suspected to crash back ends, not quarantined",
             )?,
-            convicted: gauge(
+            quarantined: gauge(
                 "coursestand_edge_case_convicted",
-                "Requests rejected because back ends ended under them",
+                "Requests quarantined because back ends crashed while they were in flight",
+            )?,
+            idle: gauge(
+                "coursestand_edge_idle_connections",
+                "Idle connections to back ends",
             )?,
-            idle: gauge("coursestand_edge_idle_connections", "Idle connections kept")?,
-            link_use: gauge("coursestand_edge_link_use", "Percent of the link used")?,
+            link_use: gauge("coursestand_edge_link_use", "Link utilization in percent")?,
             retry_daemons: gauge(
                 "coursestand_edge_retry_daemons",
-                "Entry daemons among which the allowance for retries is divided",
+                "Entry daemons that share the allowance for retries",
             )?,
-            retry_budget: by_service("coursestand_edge_retry_budget", "Retries that are left")?,
-            held_retries: by_service(
+            retry_budget: by_service("coursestand_edge_retry_budget", "Remaining retries")?,
+            withheld_retries: by_service(
                 "coursestand_edge_held_retries",
-                "Retries held back for copies that may still arrive",
+                "Retries withheld for copies that may still arrive",
             )?,
         })
     }
--- a/crates/coursestand-daemon/src/fleet/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet: control processes that form their group from seeds and keep the soft
-//! state of back ends and entry daemons, and entry daemons that follow them.
+//! Fleet mode: control processes form a group from seed addresses and maintain the soft state
+//! of back ends and entry daemons; entry daemons follow them.
 //!
-//! `docs/design/0006-fleet-on-a-platform.md` tells which part serves what.
+//! `docs/design/0006-fleet-on-a-platform.md` describes the division of work.
 
 pub mod catalog_follower;
 pub mod catalog_parts;
--- a/crates/coursestand-daemon/src/fleet/node.rs
+++ b/crates/coursestand-daemon/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a fleet's process together, as its settings say.
+//! Assembles the services of a fleet process from its settings.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,22 +18,22 @@
 use crate::fleet::edge_service::FleetEdge;
 use crate::fleet::seeds;
 
-/// Why a process could not start.
+/// Reasons why a process fails to start.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// A service failed.
+    /// A service failed to start.
     #[snafu(display("{source}"))]
     Service {
         /// Cause.
         source: ServiceError,
     },
-    /// Metrics can't be registered.
+    /// Metrics could not be registered.
     #[snafu(display("metrics: {source}"))]
     Metrics {
         /// Cause.
         source: prometheus::Error,
     },
-    /// The admin interface failed.
+    /// The admin interface failed to start.
     #[snafu(display("the admin interface: {source}"))]
     Admin {
         /// Cause.
@@ -41,7 +41,7 @@
     },
 }
 
-/// A running process of a fleet.
+/// A running fleet process.
 pub struct Node {
     kernel: Kernel,
     admin: Admin,
@@ -50,8 +50,9 @@
 }
 
 impl Node {
-    /// Starts the process that `settings` describe; `file` is where they stand
-    /// and may change.
+    /// Starts the process that `settings` describe. `file` is the settings file, which is
+    /// watched for changes. Fails if a service, the metrics or the admin interface can't be
+    /// started.
     pub async fn start(
         settings: &FleetSettings,
         file: Option<PathBuf>,
@@ -96,29 +97,29 @@
         })
     }
 
-    /// Address of the admin interface.
+    /// Returns the address of the admin interface.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The services.
+    /// Returns the kernel that runs the services.
     pub fn kernel(&self) -> &Kernel {
         &self.kernel
     }
 
-    /// Looks at the settings file at once.
+    /// Reads the settings file without waiting for the next check.
     pub fn reload(&self) {
         self.reload.notify_one();
     }
 
-    /// Ends the process and cuts no request off.
+    /// Stops the process after requests in flight have finished.
     pub async fn drain_and_stop(&self) {
         self.kernel.drain_and_stop().await;
         self.tasks.abort();
         self.admin.stop().await;
     }
 
-    /// Ends the process at once.
+    /// Stops the process immediately.
     pub async fn stop(&self) {
         self.kernel.stop().await;
         self.tasks.abort();
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -1,4 +1,4 @@
-//! Kept connections to the other control processes, made again when they end.
+//! Persistent connections to the other control processes, reopened when they fail.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,60 +15,64 @@
 use tokio::time::Instant;
 
 use crate::control::peers::{PeerSender, envelopes};
-use crate::fleet::wire::{Answer, PeerMessage, PeerReply, Question, Starts, ToControl};
+use crate::fleet::wire::{Answer, PeerMessage, PeerReply, Question, StartTimes, ToControl};
 
 const LOG: &str = "mesh";
-/// Messages that wait for a connection; more are dropped.
-const QUEUE: usize = 4_096;
-/// Time between two signs of life.
-const PING: Duration = Duration::from_millis(500);
-/// A peer that sends nothing for this long is lost.
-const PEER_SILENCE: Duration = Duration::from_millis(1_600);
-/// Pause before a lost connection is made again.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Queue length of a connection; messages beyond it are dropped.
+const QUEUE_MESSAGES: usize = 4_096;
+/// Time between two pings.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
+/// A peer that sends nothing for this long is disconnected.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Delay before a lost connection is reopened.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// What a new connection starts with.
-pub type Snapshot = Arc<dyn Fn() -> Vec<PeerMessage> + Send + Sync>;
+/// Returns the messages that a new connection starts with.
+pub type InitialMessages = Arc<dyn Fn() -> Vec<PeerMessage> + Send + Sync>;
 
 /// A connection to one control process.
 struct PeerLink {
     address: SocketAddr,
     outgoing: mpsc::Sender<PeerMessage>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<PeerReply>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<PeerReply>>>,
 }
 
 /// Connections to the other control processes.
 pub struct PeerLinks {
-    own: SocketAddr,
-    snapshot: Snapshot,
+    local_address: SocketAddr,
+    initial_messages: InitialMessages,
     links: Mutex<BTreeMap<SocketAddr, Arc<PeerLink>>>,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
     runtime: tokio::runtime::Handle,
     tasks: Arc<Tasks>,
 }
 
 impl PeerLinks {
-    /// No connections yet; each starts with what `snapshot` gives, and lives as
-    /// long as `tasks`.
-    pub fn new(own: SocketAddr, snapshot: Snapshot, tasks: Arc<Tasks>) -> PeerLinks {
+    /// Creates a set without connections. Each connection starts with the messages of
+    /// `initial_messages`, and runs as one of `tasks`.
+    pub fn new(
+        local_address: SocketAddr,
+        initial_messages: InitialMessages,
+        tasks: Arc<Tasks>,
+    ) -> PeerLinks {
         PeerLinks {
-            own,
-            snapshot,
+            local_address,
+            initial_messages,
             links: Mutex::default(),
-            numbers: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             runtime: tokio::runtime::Handle::current(),
             tasks,
         }
     }
 
-    /// Keeps a connection to `address` from now on.
-    pub fn keep(&self, address: SocketAddr) {
-        if address != self.own {
+    /// Opens a connection to `address` unless there is one, and keeps it open.
+    pub fn ensure_link(&self, address: SocketAddr) {
+        if address != self.local_address {
             self.link(address);
         }
     }
 
-    /// Addresses with a link.
+    /// Returns the addresses with a link.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.keys().copied().collect()
@@ -77,19 +81,19 @@
     fn link(&self, address: SocketAddr) -> Arc<PeerLink> {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(address).or_insert_with(|| {
-            let (outgoing, queue) = mpsc::channel(QUEUE);
+            let (outgoing, queue) = mpsc::channel(QUEUE_MESSAGES);
             let link = Arc::new(PeerLink {
                 address,
                 outgoing,
-                waiting: Mutex::default(),
+                pending: Mutex::default(),
             });
             let task = keep_connected(
                 Arc::clone(&link),
                 queue,
-                self.own,
-                Arc::clone(&self.snapshot),
+                self.local_address,
+                Arc::clone(&self.initial_messages),
             );
-            // The driver's thread sends too, and has no runtime of its own.
+            // Called from the driver's thread as well, which has no runtime.
             let _entered = self.runtime.enter();
             self.tasks.start(task);
             link
@@ -97,49 +101,50 @@
         Arc::clone(link)
     }
 
-    /// Tells one process, if it is connected.
-    pub fn tell(&self, address: SocketAddr, message: PeerMessage) {
-        // A full queue loses the message, like a network.
+    /// Sends a message to one process, if it is connected.
+    pub fn send_to(&self, address: SocketAddr, message: PeerMessage) {
+        // A full queue drops the message, as a network may.
         let _ = self.link(address).outgoing.try_send(message);
     }
 
-    /// Tells all processes that are connected.
-    pub fn tell_all(&self, message: &PeerMessage) {
+    /// Sends a message to all connected processes.
+    pub fn broadcast(&self, message: &PeerMessage) {
         for address in self.addresses() {
-            self.tell(address, message.clone());
+            self.send_to(address, message.clone());
         }
     }
 
-    /// Tells one process news of back ends; returns once it has them.
-    pub async fn tell_surely(
+    /// Sends updates of back ends to one process. Returns whether it acknowledged them within
+    /// `timeout`.
+    pub async fn send_confirmed(
         &self,
         address: SocketAddr,
-        news: Vec<InstanceNews>,
-        limit: Duration,
+        updates: Vec<InstanceNews>,
+        timeout: Duration,
     ) -> bool {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let message = PeerMessage::Instances {
-            starts: Starts::of(&news),
-            news,
+            starts: StartTimes::of(&updates),
+            updates,
             receipt: Some(number),
         };
-        let reply = self.exchange(address, number, message, limit).await;
-        matches!(reply, Some(PeerReply::Taken(_)))
+        let reply = self.exchange(address, number, message, timeout).await;
+        matches!(reply, Some(PeerReply::Received(_)))
     }
 
-    /// Asks one process.
+    /// Sends a question to one process and returns its answer, or `None` after `timeout`.
     pub async fn ask(
         &self,
         address: SocketAddr,
         question: Question,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<Answer> {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let message = PeerMessage::Ask {
             number,
             question: Box::new(question),
         };
-        match self.exchange(address, number, message, limit).await? {
+        match self.exchange(address, number, message, timeout).await? {
             PeerReply::Answer { answer, .. } => Some(answer),
             _ => None,
         }
@@ -150,32 +155,32 @@
         address: SocketAddr,
         number: u64,
         message: PeerMessage,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<PeerReply> {
         let link = self.link(address);
-        let (reply, replied) = oneshot::channel();
-        link.waiting().insert(number, reply);
-        // A full queue drops the reply's sender below, by the time-out at last.
+        let (reply, received) = oneshot::channel();
+        link.pending().insert(number, reply);
+        // If the queue is full, no reply comes and the timeout below ends the wait.
         let _ = link.outgoing.try_send(message);
-        let result = tokio::time::timeout(limit, replied).await;
-        link.waiting().remove(&number);
+        let result = tokio::time::timeout(timeout, received).await;
+        link.pending().remove(&number);
         result.ok()?.ok()
     }
 }
 
 impl PeerLink {
-    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<PeerReply>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<PeerReply>>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn take_reply(&self, reply: PeerReply) {
         let number = match &reply {
             PeerReply::Pong => return,
-            PeerReply::Taken(number) | PeerReply::Answer { number, .. } => *number,
+            PeerReply::Received(number) | PeerReply::Answer { number, .. } => *number,
         };
-        if let Some(waiting) = self.waiting().remove(&number) {
-            // Whoever asked may have given up.
-            let _ = waiting.send(reply);
+        if let Some(pending) = self.pending().remove(&number) {
+            // Fails only if the caller has timed out.
+            let _ = pending.send(reply);
         }
     }
 }
@@ -183,40 +188,47 @@
 async fn keep_connected(
     link: Arc<PeerLink>,
     mut queue: mpsc::Receiver<PeerMessage>,
-    own: SocketAddr,
-    snapshot: Snapshot,
+    local_address: SocketAddr,
+    initial_messages: InitialMessages,
 ) {
     let mut was_connected = false;
     loop {
-        let result = run(&link, &mut queue, own, &snapshot, &mut was_connected).await;
+        let result = run(
+            &link,
+            &mut queue,
+            local_address,
+            &initial_messages,
+            &mut was_connected,
+        )
+        .await;
         if was_connected {
             if let Err(error) = result {
                 info!(target: LOG, peer:% = link.address; "control process lost: {error}");
             }
             was_connected = false;
         }
-        // Replies to what was sent on that connection come no more.
-        link.waiting().clear();
-        tokio::time::sleep(PAUSE).await;
+        // Drops the waiting callers: no reply to what was sent on that connection can come.
+        link.pending().clear();
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 async fn run(
     link: &PeerLink,
     queue: &mut mpsc::Receiver<PeerMessage>,
-    own: SocketAddr,
-    snapshot: &Snapshot,
+    local_address: SocketAddr,
+    initial_messages: &InitialMessages,
     was_connected: &mut bool,
 ) -> Result<(), StreamError> {
     let (mut receiver, mut sender) = stream::connect::<PeerReply, ToControl>(link.address).await?;
-    sender.send(&ToControl::PeerHello(own)).await?;
-    // What waited for the connection is old by now; the snapshot is newer.
+    sender.send(&ToControl::PeerHello(local_address)).await?;
+    // Messages queued before the connection are outdated; the initial messages are newer.
     while queue.try_recv().is_ok() {}
-    for message in snapshot() {
+    for message in initial_messages() {
         sender.send(&ToControl::Peer(message)).await?;
     }
-    let mut ping = tokio::time::interval(PING);
-    let mut heard_at = Instant::now();
+    let mut ping = tokio::time::interval(PING_INTERVAL);
+    let mut last_received_at = Instant::now();
     loop {
         tokio::select! {
             message = queue.recv() => match message {
@@ -224,7 +236,7 @@
                 None => return Ok(()),
             },
             reply = receiver.next() => {
-                heard_at = Instant::now();
+                last_received_at = Instant::now();
                 if !*was_connected {
                     *was_connected = true;
                     debug!(target: LOG, peer:% = link.address; "control process connected");
@@ -234,8 +246,8 @@
             _ = ping.tick() => {
                 sender.send(&ToControl::Ping).await?;
             }
-            () = tokio::time::sleep_until(heard_at + PEER_SILENCE) => {
-                let limit_ms = PEER_SILENCE.as_millis();
+            () = tokio::time::sleep_until(last_received_at + PEER_TIMEOUT) => {
+                let limit_ms = PEER_TIMEOUT.as_millis();
                 return Err(StreamError::Silent { limit_ms });
             }
         }
@@ -243,9 +255,9 @@
 }
 
 /// Sends consensus messages over the links.
-pub struct MeshPeers(pub Arc<PeerLinks>);
+pub struct PeerLinkSender(pub Arc<PeerLinks>);
 
-impl PeerSender for MeshPeers {
+impl PeerSender for PeerLinkSender {
     fn send(
         &mut self,
         cluster: u64,
@@ -254,7 +266,7 @@
         messages: Vec<(ReplicaId, Message)>,
     ) {
         for (address, bytes) in envelopes(cluster, from, membership, messages) {
-            self.0.tell(address, PeerMessage::Consensus(bytes));
+            self.0.send_to(address, PeerMessage::Consensus(bytes));
         }
     }
 }
--- a/crates/coursestand-daemon/src/fleet/prober.rs
+++ b/crates/coursestand-daemon/src/fleet/prober.rs
@@ -1,5 +1,4 @@
-//! Looks, for a control process that can't reach an entry daemon, whether that
-//! daemon is ready all the same.
+//! Probes entry daemons that a control process can't reach, at its request.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -9,17 +8,17 @@
 
 use crate::fleet::wire::ToControl;
 
-/// Longest time of one probe; the next one comes a second after it was ordered.
-const LIMIT: Duration = Duration::from_millis(700);
+/// Timeout of a probe; control processes request the next one after a second.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Makes probes; most daemons never make one.
+/// Sends readiness probes. The client is created on first use, as most daemons never need it.
 #[derive(Default)]
 pub struct Prober {
     client: OnceLock<Option<Client>>,
 }
 
 impl Prober {
-    /// What to tell the control process if the daemon is ready.
+    /// Probes a daemon, and returns the message for the control process if it is ready.
     pub async fn find_ready(&self, suspect: EdgeRecord) -> Option<ToControl> {
         let client = self.client.get_or_init(make_client).as_ref()?;
         let url = format!("http://{}/health", suspect.admin_address);
@@ -27,7 +26,7 @@
         answer
             .status()
             .is_success()
-            .then_some(ToControl::FoundReady {
+            .then_some(ToControl::ProbeSucceeded {
                 name: suspect.name,
                 incarnation: suspect.incarnation,
             })
@@ -36,7 +35,7 @@
 
 fn make_client() -> Option<Client> {
     Client::builder()
-        .timeout(LIMIT)
+        .timeout(PROBE_TIMEOUT)
         .no_proxy()
         .pool_max_idle_per_host(0)
         .build()
--- a/crates/coursestand-daemon/src/fleet/seeds.rs
+++ b/crates/coursestand-daemon/src/fleet/seeds.rs
@@ -1,5 +1,5 @@
-//! Follows the settings file: its seeds may change while the process runs, with a
-//! signal or without.
+//! Watches the settings file for changed seeds while the process runs; a signal triggers an
+//! immediate check.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,11 +12,11 @@
 use tokio::sync::{Notify, watch};
 
 const LOG: &str = "daemon";
-/// Time between two looks at the file.
-const LOOK: Duration = Duration::from_secs(2);
+/// Time between two checks of the file.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Publishes the seeds of the settings file whenever they change. `reload` makes
-/// it look at once.
+/// Publishes the seeds of the settings file whenever they change. `reload` triggers an
+/// immediate check.
 pub async fn follow_file(
     file: PathBuf,
     reload: Arc<Notify>,
@@ -24,12 +24,12 @@
 ) {
     let mut text = std::fs::read(&file).unwrap_or_default();
     loop {
-        // Either a signal or the end of the pause.
-        let _ = tokio::time::timeout(LOOK, reload.notified()).await;
+        // Woken by a signal or the end of the interval.
+        let _ = tokio::time::timeout(POLL_INTERVAL, reload.notified()).await;
         let newest = match std::fs::read(&file) {
             Ok(newest) => newest,
             Err(error) => {
-                warn!(target: LOG, "the settings can't be read again: {error}");
+                warn!(target: LOG, "cannot read the settings file: {error}");
                 continue;
             }
         };
@@ -39,10 +39,10 @@
         text = newest;
         match load::<FleetSettings>(&file) {
             Ok(settings) => {
-                info!(target: LOG, seeds:? = settings.seeds; "the settings were read again");
+                info!(target: LOG, seeds:? = settings.seeds; "settings reloaded");
                 seeds.send_replace(settings.seed_addresses());
             }
-            Err(error) => warn!(target: LOG, "the changed settings are refused: {error}"),
+            Err(error) => warn!(target: LOG, "changed settings rejected: {error}"),
         }
     }
 }
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -13,167 +13,169 @@
 
 use crate::control::shared::LogReach;
 
-/// What a control process receives on a connection.
+/// Messages that a control process receives on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToControl {
     /// First message of another control process, with its own address.
     PeerHello(SocketAddr),
-    /// First message of an entry daemon.
+    /// First message of an entry daemon on a connection.
     EdgeHello {
-        /// What it says of itself.
+        /// Identity, addresses and phase of the daemon.
         record: EdgeRecord,
-        /// Newest change of the catalog that it has.
-        have: u64,
-        /// Whether it reads what other daemons found out of back ends.
+        /// Newest catalog version that the daemon has.
+        catalog_version: u64,
+        /// Whether the daemon accepts findings of other daemons about back ends.
         reads_findings: TrailingFlag,
-        /// Whether it reads and tells what is known of requests that end back ends.
-        reads_cases: TrailingFlag,
-        /// Whether it reads and tells rate limits of back ends.
+        /// Whether the daemon sends and accepts crash records of requests.
+        reads_crash_records: TrailingFlag,
+        /// Whether the daemon sends and accepts rate limits of back ends.
         reads_limits: TrailingFlag,
     },
     /// A message of another control process.
     Peer(PeerMessage),
-    /// The entry daemon says something new of itself.
+    /// The entry daemon's record changed.
     Edge(EdgeRecord),
-    /// The sender lives.
+    /// Keep-alive of another control process.
     Ping,
-    /// The entry daemon found this run of another one ready, as it was asked to
-    /// look.
-    FoundReady {
-        /// Name of the other one.
+    /// The entry daemon probed another one at the control process's request and found it ready.
+    ProbeSucceeded {
+        /// Name of the probed daemon.
         name: String,
-        /// Its run.
+        /// Incarnation of the probed daemon.
         incarnation: u64,
     },
-    /// The entry daemon lives, and uses this much of its link.
+    /// Keep-alive of the entry daemon, with the utilization of its link.
     EdgePing(LinkUse),
-    /// The entry daemon has the catalog up to this change, wherever it has it from.
-    Have(u64),
-    /// Send what the entry daemon lacks of the catalog, which it has up to this change.
+    /// The entry daemon has the catalog up to this version, from any control process.
+    HaveCatalog(u64),
+    /// Requests the catalog changes after this version, which the entry daemon has.
     FetchCatalog(u64),
-    /// A part of the catalog up to this change arrived: send the next one.
-    PartTaken(u64),
-    /// What the entry daemon found out of back ends. Only sent to a control
-    /// process that has sent such a message itself.
+    /// A part of the catalog changes up to this version arrived; requests the next part.
+    PartReceived(u64),
+    /// Findings of the entry daemon about back ends. Sent only to a control process that has
+    /// sent a `Findings` message itself.
     Findings(Vec<SharedFinding>),
-    /// What the entry daemon knows of requests under which back ends ended. Only sent to a
-    /// control process that has sent such a message itself, like what follows.
-    Cases(Vec<SharedCase>),
-    /// The entry daemon wants to try such a request, of which it knows this. Only a control
-    /// process that leads answers.
-    AskForTrial(SharedCase),
-    /// What back ends named the entry daemon as their rate limits. Only sent to a control
-    /// process that has sent such a message itself, like what follows.
+    /// Crash records of requests that the entry daemon has. Sent only to a control process that
+    /// has sent a `CrashRecords` message itself; the same holds for `RequestTrial`.
+    CrashRecords(Vec<SharedCase>),
+    /// Requests a trial of a suspect request, with the daemon's crash record of it. Only the
+    /// leader answers.
+    RequestTrial(SharedCase),
+    /// Rate limits that back ends reported to the entry daemon. Sent only to a control process
+    /// that has sent a `Limits` message itself; the same holds for `RequestToken`.
     Limits(Vec<LimitNews>),
-    /// The entry daemon wants to send a request to a rate-limited back end. Only a control
-    /// process that leads answers.
-    AskForToken {
-        /// Number of the question.
+    /// Requests a token for a rate-limited back end. Only the leader answers.
+    RequestToken {
+        /// Number of the token request, repeated in the answer.
         number: u64,
-        /// The question.
+        /// Back end and daemon that the token is for.
         request: TokenRequest,
     },
 }
 
-/// Whether the sender does something that older processes don't. As one of the last things
-/// in its message it is read and left like [`Starts`]: a process that doesn't tell, doesn't.
+/// Whether the sender supports a feature that older processes lack. Like [`StartTimes`], such
+/// flags are the last fields of their message: older processes ignore them, and a message from
+/// an older process reads as `false`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrailingFlag(pub bool);
 
 impl<'de> Deserialize<'de> for TrailingFlag {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // Only such flags follow in the message, so that only missing bytes can be wrong here.
+        // Only trailing flags follow in the message, so the only possible error is missing
+        // bytes.
         Ok(TrailingFlag(
             bool::deserialize(deserializer).unwrap_or_default(),
         ))
     }
 }
 
-/// When the incarnations in a list of news started, in the list's order.
+/// Start times of the incarnations in a list of instance updates, in the list's order.
 ///
-/// It is the last thing in its message. So a process that doesn't know of it reads the
-/// message and leaves these bytes, and a message of such a process ends before them: then
-/// nothing is told of any start. Processes of both kinds work side by side.
+/// This is the last field of its message. A process that does not know the field ignores the
+/// trailing bytes, and a message from such a process ends before them and decodes without start
+/// times. So processes of both versions work side by side.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Starts(Vec<Option<Millis>>);
+pub struct StartTimes(Vec<Option<Millis>>);
 
-impl Starts {
-    /// The starts of these back ends.
-    pub fn of(news: &[InstanceNews]) -> Starts {
-        Starts(news.iter().map(|one| one.instance.born).collect())
+impl StartTimes {
+    /// Collects the start times of these updates.
+    pub fn of(updates: &[InstanceNews]) -> StartTimes {
+        StartTimes(updates.iter().map(|update| update.instance.born).collect())
     }
 
-    /// The news with their starts.
-    pub fn join(self, mut news: Vec<InstanceNews>) -> Vec<InstanceNews> {
-        for (one, born) in news.iter_mut().zip(self.0) {
-            one.instance.born = born;
+    /// Returns the updates with their start times filled in.
+    pub fn join(self, mut updates: Vec<InstanceNews>) -> Vec<InstanceNews> {
+        for (update, born) in updates.iter_mut().zip(self.0) {
+            update.instance.born = born;
         }
-        news
+        updates
     }
 }
 
-impl<'de> Deserialize<'de> for Starts {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Starts, D::Error> {
-        // Nothing follows in the message, so that only missing bytes can be wrong here.
-        Ok(Starts(Vec::deserialize(deserializer).unwrap_or_default()))
+impl<'de> Deserialize<'de> for StartTimes {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<StartTimes, D::Error> {
+        // Nothing follows in the message, so the only possible error is missing bytes.
+        Ok(StartTimes(
+            Vec::deserialize(deserializer).unwrap_or_default(),
+        ))
     }
 }
 
-/// What one control process tells another.
+/// Messages from one control process to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A consensus message in its envelope.
+    /// A consensus message in its envelope, encoded.
     Consensus(Vec<u8>),
-    /// News of back ends; answered with `Taken` when there is a receipt.
+    /// Updates of back ends; acknowledged with `Received` if there is a receipt number.
     Instances {
-        /// The news.
-        news: Vec<InstanceNews>,
-        /// Number of the receipt that the sender waits for.
+        /// The updates.
+        updates: Vec<InstanceNews>,
+        /// Receipt number, if the sender waits for an acknowledgement.
         receipt: Option<u64>,
-        /// When their incarnations started.
-        starts: Starts,
+        /// Start times of the updated incarnations.
+        starts: StartTimes,
     },
-    /// Back ends whose heartbeats the sender got lately.
-    Heard(Vec<BackendId>),
-    /// The sender is connected with this entry daemon, or no longer.
+    /// Back ends whose heartbeats the sender received since its last such message.
+    HeartbeatsReceived(Vec<BackendId>),
+    /// The sender's connection with an entry daemon was established or lost.
     Edge {
         /// The entry daemon.
         record: EdgeRecord,
-        /// Whether it is connected.
+        /// Whether the sender is connected with it.
         is_connected: bool,
     },
-    /// A question; answered with `Answer` of the same number.
+    /// A question; answered with an `Answer` of the same number.
     Ask {
-        /// Number of the question.
+        /// Number of the question, repeated in the answer.
         number: u64,
         /// The question.
         question: Box<Question>,
     },
 }
 
-/// What a control process asks another, mostly the leader.
+/// Requests from one control process to another, mostly to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Question {
     /// Commit this command.
     Propose(Command),
-    /// The newest catalog.
+    /// Read the newest catalog.
     ReadCatalog,
-    /// Take this replica into the group.
+    /// Add this replica to the group.
     Join {
-        /// Where it is reached.
+        /// Internal address of the replica.
         address: SocketAddr,
-        /// Its identity.
+        /// Identity of the replica.
         replica: u64,
     },
 }
 
-/// What a control process gets back from another on the connection it made.
+/// Replies that a control process receives on a connection that it opened to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The other lives.
+    /// Answer to `Ping`.
     Pong,
-    /// The news with this receipt are known there.
-    Taken(u64),
+    /// The updates with this receipt number were received.
+    Received(u64),
     /// Answer to a question.
     Answer {
         /// Number of the question.
@@ -183,105 +185,104 @@
     },
 }
 
-/// A part of changes of the catalog, which are a packed `ToEdge::Catalog` frame together.
-/// Parts of one frame come in their order.
+/// A part of a compressed `ToEdge::Catalog` frame. The parts of one frame are sent in order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CatalogPart {
-    /// Newest change that the frame holds.
+    /// Newest catalog version in the frame.
     pub version: u64,
-    /// Bytes of the whole packed frame.
+    /// Length of the whole compressed frame in bytes.
     pub length: usize,
-    /// Bytes of it that came before.
+    /// Offset of this part in the compressed frame, in bytes.
     pub offset: usize,
-    /// These bytes.
+    /// Content of this part.
     pub bytes: Vec<u8>,
 }
 
-/// Answer to a question.
+/// Answers to [`Question`]s.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// The command was committed, with this result.
+    /// The command was committed with this result.
     Command(CommandAnswer),
-    /// The newest catalog, whole.
+    /// The newest catalog, complete.
     Catalog(CatalogDelta),
     /// The replica is a member of this group.
     Joined {
-        /// The group.
+        /// Identity of the group.
         cluster: u64,
-        /// Voters by identity and address.
+        /// Voters by replica identity and address.
         voters: Vec<(u64, String)>,
     },
-    /// The asked process doesn't lead.
+    /// The receiver of the question is not the leader.
     NotLeader,
-    /// The replica is not a member yet; the leader is one of these.
+    /// The replica is not a member so far; the leader is one of these processes.
     AskThese(Vec<SocketAddr>),
-    /// It is not known whether the command took effect.
+    /// It is unknown whether the command took effect; the text says why.
     Unknown(String),
 }
 
-/// Entry daemons that came and went, by name.
+/// Entry daemons that connected or disconnected, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EdgeChange {
-    /// Those that came.
-    pub came: Vec<String>,
-    /// Those that went.
-    pub went: Vec<String>,
+pub struct EdgeChanges {
+    /// Daemons that connected.
+    pub added: Vec<String>,
+    /// Daemons that disconnected.
+    pub removed: Vec<String>,
 }
 
-/// The control processes by address, as one of them knows them.
+/// Members of the control group by address, as one of them sees the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlGroup {
-    /// All of them.
+    /// Voters and learners.
     pub members: BTreeSet<SocketAddr>,
-    /// Those that vote.
+    /// Voters only.
     pub voters: BTreeSet<SocketAddr>,
-    /// Log index of the change that made the group this one.
+    /// Log index of the membership change that led to this group.
     pub changed_at: u64,
 }
 
-/// What an entry daemon receives from a control process.
+/// Messages that an entry daemon receives from a control process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToEdge {
-    /// Answer to one sign of life, in their order. What the control process had
-    /// applied when it got the sign was sent before.
+    /// Answer to one `EdgePing`, in the order of the pings. All that the control process had
+    /// applied when it received the ping was sent before this answer.
     Pong {
-        /// How far its log reached then; `None` when it is no voter.
+        /// How far its log reached then; `None` if it is not a voter.
         reach: Option<LogReach>,
-        /// Newest change of the catalog that it had applied, or a later one.
+        /// Catalog version that it had applied then, or a later one.
         catalog: u64,
     },
     /// Changes of the catalog.
     Catalog(CatalogDelta),
-    /// The catalog is at this change; what the entry daemon lacks of it is too large to be
-    /// sent by every control process.
-    CatalogIsAt(u64),
-    /// A part of what the entry daemon asked for.
+    /// The control process's catalog version; the changes that the entry daemon lacks are too
+    /// large to be pushed by every control process.
+    CatalogVersion(u64),
+    /// A part of the catalog changes that the entry daemon requested.
     CatalogPart(CatalogPart),
-    /// News of back ends, and when their incarnations started.
-    Instances(Vec<InstanceNews>, Starts),
-    /// How the entry daemons that are connected with the control group changed
-    /// since the last such message on this connection; at first there are none.
-    Edges(EdgeChange),
-    /// The control group.
+    /// Updates of back ends, and the start times of their incarnations.
+    Instances(Vec<InstanceNews>, StartTimes),
+    /// Changes of the set of connected entry daemons since the last such message on this
+    /// connection; the set is empty at first.
+    Edges(EdgeChanges),
+    /// Members of the control group.
     Controls(ControlGroup),
-    /// Look whether this entry daemon is ready; control can't reach it.
+    /// Requests a readiness probe of this entry daemon, which the control process can't reach.
     Probe(EdgeRecord),
-    /// What other entry daemons found out of back ends. An empty one comes first: the
-    /// control process passes findings on.
+    /// Findings of other entry daemons about back ends. An empty list is sent first and
+    /// announces that the control process relays findings.
     Findings(Vec<SharedFinding>),
-    /// What is known of requests under which back ends ended. On a new connection it comes
-    /// before the catalog, so that no request is served without it.
-    Cases(Vec<SharedCase>),
-    /// Answer to a daemon that wants to try such a request.
+    /// Crash records of requests. On a new connection they precede the catalog, so that no
+    /// request is served without them.
+    CrashRecords(Vec<SharedCase>),
+    /// Answer to `ToControl::RequestTrial`.
     Trial(TrialVerdict),
-    /// What back ends named other entry daemons as their rate limits. On a new connection it
-    /// follows the back ends.
+    /// Rate limits that back ends reported to other entry daemons. On a new connection they
+    /// follow the back ends.
     Limits(Vec<LimitNews>),
-    /// Answer to a daemon that wants to send a request to a rate-limited back end.
+    /// Answer to `ToControl::RequestToken`.
     Token {
-        /// Number of the question.
+        /// Number of the token request.
         number: u64,
-        /// The answer.
+        /// Whether a token is granted.
         verdict: TokenVerdict,
     },
 }
--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_telling.rs
@@ -7,7 +7,9 @@
 
 use coursestand_catalog::{Catalog, Patch};
 use coursestand_daemon::fleet::catalog_parts::CatalogParts;
-use coursestand_daemon::fleet::catalog_updates::{CatalogNews, CatalogTelling, Telling};
+use coursestand_daemon::fleet::catalog_updates::{
+    CatalogDistribution, CatalogMessage, CatalogUpdates,
+};
 use coursestand_daemon::fleet::wire::ToEdge;
 use coursestand_lab::items;
 use coursestand_transport::frame::{decode, encode};
@@ -18,8 +20,8 @@
 /// the test lets the daemon read it.
 struct Connection {
     catalog: Catalog,
-    news: CatalogNews,
-    telling: CatalogTelling,
+    news: CatalogUpdates,
+    telling: CatalogDistribution,
     on_the_way: VecDeque<ToEdge>,
     parts: CatalogParts,
     daemon: Catalog,
@@ -31,8 +33,8 @@
     fn new() -> Connection {
         let mut connection = Connection {
             catalog: Catalog::default(),
-            news: CatalogNews::default(),
-            telling: CatalogTelling::new(0),
+            news: CatalogUpdates::default(),
+            telling: CatalogDistribution::new(0),
             on_the_way: VecDeque::new(),
             parts: CatalogParts::default(),
             daemon: Catalog::default(),
@@ -58,10 +60,10 @@
         self.merge(routes, version);
     }
 
-    fn send(&mut self, telling: Telling) {
+    fn send(&mut self, telling: CatalogMessage) {
         let message = match telling {
-            Telling::Frame(frame) => decode(&frame).expect("a message"),
-            Telling::Message(message) => message,
+            CatalogMessage::Frame(frame) => decode(&frame).expect("a message"),
+            CatalogMessage::Message(message) => message,
         };
         self.sent_bytes += encode(&message).expect("a frame").len();
         self.on_the_way.push_back(message);
@@ -70,7 +72,7 @@
     fn tell(&mut self) {
         let read = |since| self.catalog.steering_delta(since);
         let version = self.catalog.version();
-        let telling = self.telling.tell(version, &self.news, read);
+        let telling = self.telling.next_message(version, &self.news, read);
         if let Some(telling) = telling.expect("encoded") {
             self.send(telling);
         }
@@ -99,13 +101,13 @@
                 if version <= self.daemon.version() {
                     return true;
                 }
-                match self.parts.take(part).expect("sound") {
+                match self.parts.add(part).expect("sound") {
                     Some(ToEdge::Catalog(delta)) => {
                         self.daemon.adopt(delta);
                     }
                     Some(other) => panic!("unexpected: {other:?}"),
                     None => {
-                        if let Some(part) = self.telling.part_taken(version) {
+                        if let Some(part) = self.telling.part_received(version) {
                             self.send(part);
                         }
                     }
@@ -174,12 +176,12 @@
                 Step::GotElsewhere => {
                     let rest = connection.catalog.steering_delta(connection.daemon.version());
                     connection.daemon.adopt(rest);
-                    connection.telling.note_have(connection.daemon.version());
+                    connection.telling.note_version(connection.daemon.version());
                 }
                 Step::Reconnect => {
                     connection.on_the_way.clear();
                     connection.parts = CatalogParts::default();
-                    connection.telling = CatalogTelling::new(connection.daemon.version());
+                    connection.telling = CatalogDistribution::new(connection.daemon.version());
                 }
             }
             prop_assert!(connection.skips_nothing());
--- a/crates/coursestand-daemon/tests/fleet/silent_edge.rs
+++ b/crates/coursestand-daemon/tests/fleet/silent_edge.rs
@@ -68,9 +68,9 @@
     let (mut receiver, mut sender) = connecting.expect("connected");
     let hello = ToControl::EdgeHello {
         record,
-        have: 0,
+        catalog_version: 0,
         reads_findings: TrailingFlag::default(),
-        reads_cases: TrailingFlag::default(),
+        reads_crash_records: TrailingFlag::default(),
         reads_limits: TrailingFlag::default(),
     };
     sender.send(&hello).await.expect("sent");
--- a/crates/coursestand-daemon/tests/fleet/stale_catalog.rs
+++ b/crates/coursestand-daemon/tests/fleet/stale_catalog.rs
@@ -33,9 +33,9 @@
     };
     let hello = ToControl::EdgeHello {
         record,
-        have: 0,
+        catalog_version: 0,
         reads_findings: TrailingFlag::default(),
-        reads_cases: TrailingFlag::default(),
+        reads_crash_records: TrailingFlag::default(),
         reads_limits: TrailingFlag::default(),
     };
     sender.send(&hello).await.expect("sent");
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -9,8 +9,10 @@
 
 use coursestand_catalog::{Catalog, Patch, RouteKind};
 use coursestand_daemon::control::shared::LogReach;
-use coursestand_daemon::fleet::catalog_updates::{CatalogNews, CatalogTelling, Telling};
-use coursestand_daemon::fleet::wire::{ControlGroup, EdgeChange, Starts, ToControl, ToEdge};
+use coursestand_daemon::fleet::catalog_updates::{
+    CatalogDistribution, CatalogMessage, CatalogUpdates,
+};
+use coursestand_daemon::fleet::wire::{ControlGroup, EdgeChanges, StartTimes, ToControl, ToEdge};
 use coursestand_discovery::InstanceNews;
 use coursestand_lab::items;
 use coursestand_transport::frame::{decode, encode};
@@ -229,8 +231,8 @@
     let (leaving, to_send) = mpsc::unbounded_channel();
     let receiving = tokio::spawn(receive(receiver, arriving, delay));
     let sending = tokio::spawn(send(sender, to_send, shared.clone()));
-    let mut told = CatalogTelling::new(0);
-    let ready = CatalogNews::default();
+    let mut told = CatalogDistribution::new(0);
+    let ready = CatalogUpdates::default();
     let mut told_backends = shared.news.borrow().len();
     let mut passed_at = Instant::now();
     loop {
@@ -253,9 +255,9 @@
                     let first = ToEdge::Controls(shared.script().group.clone());
                     let _ = leaving.send((Instant::now() + delay, first));
                     passed_at = Instant::now() + shared.script().table_takes;
-                    let came = shared.script().names.clone();
-                    let went = Vec::new();
-                    replies.push(ToEdge::Edges(EdgeChange { came, went }));
+                    let added = shared.script().names.clone();
+                    let removed = Vec::new();
+                    replies.push(ToEdge::Edges(EdgeChanges { added, removed }));
                 }
                 let reach = shared.script().reach;
                 replies.extend(catalog_replies(&message, &shared, &mut told, &ready));
@@ -287,7 +289,7 @@
     let all = news.borrow_and_update();
     let new = all[*told..].to_vec();
     *told = all.len();
-    let starts = Starts::of(&new);
+    let starts = StartTimes::of(&new);
     (!new.is_empty()).then_some(ToEdge::Instances(new, starts))
 }
 
@@ -295,40 +297,43 @@
 fn catalog_replies(
     message: &ToControl,
     shared: &Shared,
-    told: &mut CatalogTelling,
-    ready: &CatalogNews,
+    told: &mut CatalogDistribution,
+    ready: &CatalogUpdates,
 ) -> Vec<ToEdge> {
     let script = shared.script();
     let read = |since| script.catalog.steering_delta(since);
     let version = script.catalog.version();
     let mut replies = Vec::new();
     match message {
-        ToControl::EdgeHello { have, .. } | ToControl::Have(have) => told.note_have(*have),
+        ToControl::EdgeHello {
+            catalog_version, ..
+        }
+        | ToControl::HaveCatalog(catalog_version) => told.note_version(*catalog_version),
         ToControl::FetchCatalog(have) => {
             let fetched = told.fetch(*have, version, ready, read).expect("encoded");
             replies.extend(fetched.into_iter().map(message_of));
         }
-        ToControl::PartTaken(version) => {
-            replies.extend(told.part_taken(*version).map(message_of));
+        ToControl::PartReceived(version) => {
+            replies.extend(told.part_received(*version).map(message_of));
         }
         _ => {}
     }
-    let told = told.tell(version, ready, read).expect("encoded");
+    let told = told.next_message(version, ready, read).expect("encoded");
     replies.extend(told.map(message_of));
     replies
 }
 
-fn message_of(telling: Telling) -> ToEdge {
+fn message_of(telling: CatalogMessage) -> ToEdge {
     match telling {
-        Telling::Frame(frame) => decode(&frame).expect("a message"),
-        Telling::Message(message) => message,
+        CatalogMessage::Frame(frame) => decode(&frame).expect("a message"),
+        CatalogMessage::Message(message) => message,
     }
 }
 
 /// What the connection was not told yet of the catalog.
-fn news(shared: &Shared, told: &mut CatalogTelling, ready: &CatalogNews) -> Option<ToEdge> {
+fn news(shared: &Shared, told: &mut CatalogDistribution, ready: &CatalogUpdates) -> Option<ToEdge> {
     let script = shared.script();
     let read = |since| script.catalog.steering_delta(since);
-    let telling = told.tell(script.catalog.version(), ready, read);
+    let telling = told.next_message(script.catalog.version(), ready, read);
     telling.expect("encoded").map(message_of)
 }
--- a/crates/coursestand-daemon/tests/following/stale_catalog.rs
+++ b/crates/coursestand-daemon/tests/following/stale_catalog.rs
@@ -169,7 +169,7 @@
     }
     let daemon = Daemon::start(&all);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    expect_that!(daemon.follower.followed_count(), ge(3));
+    expect_that!(daemon.follower.connected_count(), ge(3));
     controls[0].apply(FIRST_CHANGE + 2);
     tokio::time::sleep(Duration::from_secs(2)).await;
     expect_that!(daemon.catalog(), eq(FIRST_CHANGE + 2));
--- a/crates/coursestand-daemon/tests/following/suspended.rs
+++ b/crates/coursestand-daemon/tests/following/suspended.rs
@@ -22,21 +22,21 @@
     let (clock, suspension) = MonotonicClock::with_suspensions();
     let daemon = Daemon::start_with(clock, &addresses(&controls));
     let started = Instant::now();
-    while daemon.follower.followed_count() < CONTROLS && started.elapsed() < WITHIN {
+    while daemon.follower.connected_count() < CONTROLS && started.elapsed() < WITHIN {
         tokio::time::sleep(LOOK).await;
     }
-    expect_that!(daemon.follower.followed_count(), eq(CONTROLS));
+    expect_that!(daemon.follower.connected_count(), eq(CONTROLS));
     for _ in 0..5 {
         suspension.suspend_ms(SUSPENDED_MS);
         let woken = Instant::now();
         // Answers that arrive this soon are to what was sent before.
         while woken.elapsed() < DELAY * 3 / 4 {
-            expect_that!(daemon.follower.followed_count(), eq(0));
+            expect_that!(daemon.follower.connected_count(), eq(0));
             tokio::time::sleep(LOOK).await;
         }
-        while daemon.follower.followed_count() < CONTROLS && woken.elapsed() < WITHIN {
+        while daemon.follower.connected_count() < CONTROLS && woken.elapsed() < WITHIN {
             tokio::time::sleep(LOOK).await;
         }
-        expect_that!(daemon.follower.followed_count(), eq(CONTROLS));
+        expect_that!(daemon.follower.connected_count(), eq(CONTROLS));
     }
 }
--- a/crates/coursestand-daemon/tests/instance_starts.rs
+++ b/crates/coursestand-daemon/tests/instance_starts.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use coursestand_daemon::fleet::wire::{Starts, ToEdge};
+use coursestand_daemon::fleet::wire::{StartTimes, ToEdge};
 use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_transport::frame::{decode, encode};
@@ -41,7 +41,7 @@
 #[gtest]
 fn starts_arrive_with_their_news() {
     let told = vec![news(Some(1_796_259_000_123)), news(None)];
-    let message = ToEdge::Instances(told.clone(), Starts::of(&told));
+    let message = ToEdge::Instances(told.clone(), StartTimes::of(&told));
     let frame = encode(&message).expect("encoded");
     let ToEdge::Instances(read, starts) = decode(&frame).expect("read") else {
         panic!("another message");
@@ -52,7 +52,7 @@
 #[gtest]
 fn a_process_of_before_reads_news_without_their_starts() {
     let told = vec![news(Some(1_796_259_000_123))];
-    let frame = encode(&ToEdge::Instances(told.clone(), Starts::of(&told))).expect("encoded");
+    let frame = encode(&ToEdge::Instances(told.clone(), StartTimes::of(&told))).expect("encoded");
     let Before::Instances(read) = decode(&frame).expect("read") else {
         panic!("another message");
     };
