--- a/crates/coursestand-consensus/src/config.rs
+++ b/crates/coursestand-consensus/src/config.rs
@@ -1,50 +1,51 @@
-//! Settings of a replica.
+//! Configuration of a replica.
 
 use crate::ids::{Millis, ReplicaId};
 
-/// Settings of a replica. All replicas of a group have the same times.
+/// Configuration of a replica. All replicas of a group must use the same durations.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Identity of this replica.
     pub replica: ReplicaId,
-    /// Time without a leader after which a replica campaigns; a random part of up
-    /// to half of it comes on top.
+    /// Time without contact to a leader after which a replica campaigns. A random
+    /// jitter of up to half of this value is added.
     pub election_timeout: Millis,
-    /// Time after a leader's message in which a replica does not help to replace
-    /// that leader, whose lease rests on it. A replica that starts may have heard
-    /// a leader just before, so it waits this long before it campaigns. Shorter
-    /// than the election timeout, and long enough for a heartbeat and its answer
-    /// between the farthest regions.
-    pub loyalty: Millis,
-    /// Time between two messages of a leader to a follower.
+    /// Time after a leader's message during which a replica votes for no other candidate;
+    /// the leader's lease relies on this. A replica may have received a leader's message
+    /// just before it restarted, so it also waits this long after its start before it
+    /// votes or campaigns. Must be shorter than the election timeout and longer than a
+    /// heartbeat round trip between the most distant regions.
+    pub leader_lease: Millis,
+    /// Interval between a leader's heartbeats to a follower.
     pub heartbeat: Millis,
-    /// One part in this many is the most by which two clocks differ in rate.
-    pub clock_drift: Millis,
-    /// Time without an answer after which entries are sent again. With `max_batch_bytes`
-    /// it bounds what a follower that does not answer is sent: 4 MB a second, where a
-    /// connection between regions 20 ms apart carried 5.9 MB a second.
+    /// Bound on the difference in rate between two clocks, as a divisor: 50 means that
+    /// they differ by at most 1/50.
+    pub clock_drift_divisor: Millis,
+    /// Time without an answer after which entries are sent again. Together with
+    /// `max_batch_bytes` it limits the traffic to a follower that does not answer to
+    /// 4 MB/s; a connection between regions 20 ms apart carries 5.9 MB/s.
     pub resend_after: Millis,
-    /// Bytes of entries in one message, but for one entry that is longer.
+    /// Maximum bytes of entries in one message; a single larger entry is still sent.
     pub max_batch_bytes: usize,
-    /// Entries in one message at most.
+    /// Maximum number of entries in one message.
     pub max_batch: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum bytes of snapshot data in one message.
     pub snapshot_chunk: usize,
-    /// Seed of the random election timeouts.
+    /// Seed of the random election jitter.
     pub seed: u64,
-    /// Mechanisms that tests switch off to show that their checks can fail.
+    /// Safety mechanisms; tests disable them to verify that their checks can fail.
     pub mechanisms: Mechanisms,
 }
 
 impl Config {
-    /// The usual settings.
+    /// Returns the default configuration.
     pub fn new(replica: ReplicaId, seed: u64) -> Config {
         Config {
             replica,
             election_timeout: 600,
-            loyalty: 300,
+            leader_lease: 300,
             heartbeat: 100,
-            clock_drift: 50,
+            clock_drift_divisor: 50,
             resend_after: 500,
             max_batch_bytes: 2 * 1024 * 1024,
             max_batch: 256,
@@ -55,30 +56,30 @@
     }
 }
 
-/// Mechanisms that carry a promise. All are on, except in tests that show what
-/// breaks without one.
+/// Mechanisms that the safety of the protocol depends on. All are enabled, except in
+/// tests that show what breaks without one.
 #[derive(Clone, Copy, Debug)]
 pub struct Mechanisms {
-    /// A replica that hears from a leader helps nobody to replace it.
-    pub loyal_to_leader: bool,
-    /// A leader commits only entries of its own term by counting.
-    pub commit_own_term_only: bool,
-    /// Only a candidate whose log is as new gets a vote.
+    /// A replica in contact with a leader does not vote for another candidate.
+    pub respect_leader_lease: bool,
+    /// A leader commits only entries of its current term by counting replicas.
+    pub commit_current_term_only: bool,
+    /// A replica votes only for a candidate whose log is at least as up to date.
     pub compare_logs: bool,
-    /// A vote is remembered, so there is one in each term.
-    pub one_vote_a_term: bool,
-    /// While a sync is under way a replica answers for what is on its disk only.
-    pub answer_for_synced_only: bool,
+    /// A replica votes for at most one candidate per term.
+    pub one_vote_per_term: bool,
+    /// During a sync, a replica acknowledges only entries that are already on disk.
+    pub acknowledge_synced_only: bool,
 }
 
 impl Default for Mechanisms {
     fn default() -> Self {
         Mechanisms {
-            loyal_to_leader: true,
-            commit_own_term_only: true,
+            respect_leader_lease: true,
+            commit_current_term_only: true,
             compare_logs: true,
-            one_vote_a_term: true,
-            answer_for_synced_only: true,
+            one_vote_per_term: true,
+            acknowledge_synced_only: true,
         }
     }
 }
--- a/crates/coursestand-consensus/src/lib.rs
+++ b/crates/coursestand-consensus/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated log (Raft, Ongaro and Ousterhout 2014) free of I/O, with durable
-//! storage beside it.
+//! A replicated log (Raft, Ongaro and Ousterhout 2014) without I/O, and durable
+//! storage for it.
 //!
-//! [`Replica`] never touches a socket, file or clock: the caller passes messages
-//! and the time in, saves what [`Ready`] asks for, and sends the messages that it
-//! returns. Pre-vote, check-quorum, a leader lease, learners, single-server
-//! membership change, leadership transfer and snapshots in chunks are part of it.
+//! [`Replica`] never touches a socket, file or clock: the caller passes in messages
+//! and the time, persists the contents of [`Ready`], and sends the messages that
+//! [`Ready`] contains. Supports pre-vote, check-quorum, leader leases, learners,
+//! single-server membership changes, leadership transfer and chunked snapshots.
 
 pub mod config;
 pub mod ids;
--- a/crates/coursestand-consensus/src/log.rs
+++ b/crates/coursestand-consensus/src/log.rs
@@ -1,21 +1,21 @@
-//! The log in memory: entries after the newest snapshot.
+//! The in-memory log: the entries after the latest snapshot.
 
 use crate::ids::{LogIndex, Term};
 use crate::membership::Membership;
 use crate::message::LogPosition;
 use crate::types::{Entry, Payload, Snapshot};
 
-/// Entries after a snapshot.
+/// A snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// Last index that storage has synced.
+    /// Last index that is synced to storage.
     persisted: LogIndex,
 }
 
 impl Log {
-    /// The log as storage had it.
+    /// Creates the log from the contents of storage.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Log {
         let mut log = Log {
             snapshot,
@@ -26,17 +26,17 @@
         log
     }
 
-    /// The newest snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The last index.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.snapshot.index + self.entries.len() as LogIndex
     }
 
-    /// The end of the log.
+    /// Returns the position of the last entry.
     pub fn last(&self) -> LogPosition {
         let index = self.last_index();
         LogPosition {
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Last index that storage has synced.
+    /// Returns the last index that is synced to storage.
     pub fn persisted(&self) -> LogIndex {
         self.persisted
     }
 
-    /// Storage has synced up to `index`.
+    /// Records that storage has synced all entries up to `index`.
     pub fn set_persisted(&mut self, index: LogIndex) {
         self.persisted = index.min(self.last_index());
     }
 
-    /// The term at `index`, unless a snapshot covers it or it is not there.
+    /// Returns the term at `index`; `None` if the entry is compacted or missing.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -64,7 +64,7 @@
         self.entries.get(position as usize).map(|entry| entry.term)
     }
 
-    /// Up to `limit` entries from `first` on.
+    /// Returns up to `limit` entries from `first` on.
     pub fn entries_from(&self, first: LogIndex, limit: usize) -> &[Entry] {
         let start = first.saturating_sub(self.snapshot.index + 1) as usize;
         let start = start.min(self.entries.len());
@@ -72,34 +72,34 @@
         &self.entries[start..end]
     }
 
-    /// Appends an entry that follows the last one.
+    /// Appends an entry; its index must follow the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `first` on.
+    /// Removes the entries from `first` on.
     pub fn truncate(&mut self, first: LogIndex) {
-        let keep = first.saturating_sub(self.snapshot.index + 1) as usize;
-        self.entries.truncate(keep);
+        let kept_count = first.saturating_sub(self.snapshot.index + 1) as usize;
+        self.entries.truncate(kept_count);
         self.persisted = self.persisted.min(self.last_index());
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub fn install(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.snapshot = snapshot;
         self.persisted = self.snapshot.index;
     }
 
-    /// Drops the entries that `snapshot` covers.
+    /// Removes the entries that `snapshot` includes.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let covered = snapshot.index.saturating_sub(self.snapshot.index) as usize;
         self.entries.drain(..covered.min(self.entries.len()));
         self.snapshot = snapshot;
     }
 
-    /// The newest membership up to `index`, and where it stands.
+    /// Returns the latest membership up to `index` and the index of its entry.
     pub fn membership_up_to(&self, index: LogIndex) -> (LogIndex, &Membership) {
         self.entries
             .iter()
--- a/crates/coursestand-consensus/src/membership.rs
+++ b/crates/coursestand-consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the group.
+//! Membership of the replication group.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 
 use crate::ids::ReplicaId;
 
-/// One member.
+/// A member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it is reached; the consensus core does not read it.
+    /// Network address; not interpreted by this crate.
     pub address: String,
-    /// Whether it votes; a learner only receives the log.
+    /// Whether the member votes; a learner only receives the log.
     pub is_voter: bool,
 }
 
-/// All members by identity.
+/// All members of the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members.
+    /// Members by identity.
     pub members: BTreeMap<ReplicaId, Member>,
 }
 
 impl Membership {
-    /// A group of voters.
+    /// Returns a membership that consists of voters only.
     pub fn of_voters(voters: impl IntoIterator<Item = (ReplicaId, String)>) -> Membership {
         let members = voters
             .into_iter()
@@ -38,14 +38,14 @@
         Membership { members }
     }
 
-    /// Whether the replica votes.
+    /// Returns whether the replica is a voter.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.members
             .get(&replica)
             .is_some_and(|member| member.is_voter)
     }
 
-    /// All voters.
+    /// Iterates over the voters.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.members
             .iter()
@@ -53,21 +53,21 @@
             .map(|(replica, _)| *replica)
     }
 
-    /// Voters that make a majority.
+    /// Returns the number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The highest value that a majority of voters has reached.
-    pub fn reached_by_quorum(&self, value_of: impl Fn(ReplicaId) -> u64) -> u64 {
+    /// Returns the highest value that a majority of the voters has reached.
+    pub fn quorum_value(&self, value_of: impl Fn(ReplicaId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters().map(value_of).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
-    /// Whether `next` differs by one voter or one learner at most. Majorities of
-    /// two such groups always overlap.
-    pub fn differs_by_one(&self, next: &Membership) -> bool {
+    /// Returns whether `next` has a voter and differs in at most one member. Majorities
+    /// of two such memberships always overlap.
+    pub fn is_single_change(&self, next: &Membership) -> bool {
         let replicas: std::collections::BTreeSet<_> =
             self.members.keys().chain(next.members.keys()).collect();
         let changed = replicas
--- a/crates/coursestand-consensus/src/message.rs
+++ b/crates/coursestand-consensus/src/message.rs
@@ -11,98 +11,101 @@
 pub struct Message {
     /// Term of the sender; for a pre-vote, the term that it would start.
     pub term: Term,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender, without changing the
+    /// receiver's term or vote.
     PreVote(LogPosition),
     /// Answer to a pre-vote.
     PreVoteAnswer {
-        /// Whether the receiver would vote.
+        /// Whether the receiver would vote for the candidate.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// End of the candidate's log.
+        /// Last entry of the candidate's log.
         last: LogPosition,
-        /// The leader itself asked for this election.
+        /// Whether the election is part of a leadership transfer.
         is_transfer: bool,
     },
     /// Answer to a request for a vote.
     VoteAnswer {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Entries to append; empty for a heartbeat.
     Append(Append),
     /// Answer to an append.
     AppendAnswer(AppendAnswer),
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Snapshot(SnapshotChunk),
-    /// Answer to a piece of a snapshot.
+    /// Answer to a snapshot chunk.
     SnapshotAnswer {
         /// Index of the snapshot.
         index: LogIndex,
         /// Bytes received so far.
         received: u64,
-        /// Clock of the leader when it sent the piece.
+        /// Leader's clock when it sent the chunk.
         sent_at: Millis,
     },
-    /// Start an election at once: the leader hands its leadership over.
+    /// Asks the receiver to start an election at once, to complete a leadership
+    /// transfer.
     TimeoutNow,
 }
 
-/// Position of an entry.
+/// Term and index of a log entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// Term of the entry. Compared first: a newer term makes a newer log.
+    /// Term of the entry. Compared first: the log with the later last term is more up
+    /// to date.
     pub term: Term,
     /// Index of the entry.
     pub index: LogIndex,
 }
 
-/// Entries that follow `previous`.
+/// Entries to append after `previous`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// The entry before the first one sent.
+    /// The entry immediately before `entries`.
     pub previous: LogPosition,
-    /// The entries.
+    /// Entries to append.
     pub entries: Vec<Entry>,
     /// Commit index of the leader.
     pub commit: LogIndex,
-    /// Clock of the leader, which the answer carries back for its lease.
+    /// Leader's clock at sending; the answer echoes it, for the leader's lease.
     pub sent_at: Millis,
 }
 
 /// Answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAnswer {
-    /// Last index known to equal the leader's log; on a mismatch, the last
-    /// index of the follower.
+    /// Last index known to match the leader's log; on a mismatch, a hint at the
+    /// follower's last index.
     pub index: LogIndex,
-    /// Whether the follower had the entry before the first one sent.
+    /// Whether the follower's log contains the entry before those sent.
     pub matched: bool,
-    /// Clock of the leader when it sent the append.
+    /// Leader's clock when it sent the append.
     pub sent_at: Millis,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Last entry that the snapshot covers.
+    /// Last entry included in the snapshot.
     pub last: LogPosition,
-    /// Members at that entry.
+    /// Membership at that entry.
     pub membership: Membership,
-    /// Position of this piece.
+    /// Byte offset of this chunk.
     pub offset: u64,
-    /// Bytes of the whole snapshot.
+    /// Size of the whole snapshot in bytes.
     pub total: u64,
-    /// This piece.
+    /// Bytes of this chunk.
     pub data: Vec<u8>,
-    /// Clock of the leader when it sent this piece.
+    /// Leader's clock when it sent this chunk.
     pub sent_at: Millis,
 }
--- a/crates/coursestand-consensus/src/progress.rs
+++ b/crates/coursestand-consensus/src/progress.rs
@@ -1,76 +1,76 @@
-//! What a leader knows of one follower.
+//! A leader's view of the replication to one follower.
 
 use crate::ids::{LogIndex, Millis};
 
-/// How a leader sends to a follower.
+/// Replication mode of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendState {
-    /// One message at a time, until the logs are known to match.
+    /// Entries are sent one message at a time, until the logs are known to match.
     Probe,
-    /// Messages follow each other without waiting for answers.
+    /// Entries are pipelined without waiting for answers.
     Replicate,
     /// A snapshot is being sent.
     Snapshot {
         /// Index of the snapshot.
         index: LogIndex,
-        /// Bytes that the follower has.
+        /// Bytes that the follower has received.
         received: u64,
     },
 }
 
-/// Entries that were sent and may be on their way.
+/// Entries that were sent and may still be in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentEntries {
-    /// Index of the first one.
+    /// Index of the first entry.
     pub first: LogIndex,
-    /// Clock of the leader when it sent them.
+    /// Leader's clock when the entries were sent.
     pub at: Millis,
 }
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Last index known to be equal and synced there.
+    /// Last index known to match the leader's log and to be synced at the follower.
     pub matched: LogIndex,
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub next: LogIndex,
-    /// How to send.
+    /// Replication mode.
     pub state: SendState,
-    /// Clock of the leader when it sent the newest message that was answered.
-    pub answered_sent_at: Millis,
-    /// Clock of the leader when the newest answer came; 0 before the first.
-    pub heard_at: Millis,
-    /// `matched` at the last heartbeat: no progress since means a lost message.
+    /// Leader's clock when it sent the latest message that was answered.
+    pub acked_sent_at: Millis,
+    /// Leader's clock when the latest answer arrived; 0 before the first.
+    pub last_contact_at: Millis,
+    /// `matched` at the last heartbeat; no progress since then indicates a lost message.
     pub matched_at_heartbeat: LogIndex,
-    /// The entries that were sent last, unless they are known to be lost.
+    /// The latest entries sent, unless they are known to be lost.
     pub sent: Option<SentEntries>,
 }
 
 impl Progress {
-    /// Progress of a follower of which nothing is known.
+    /// Returns the progress of a follower whose log is unknown.
     pub fn new(next: LogIndex) -> Progress {
         Progress {
             matched: 0,
             next,
             state: SendState::Probe,
-            answered_sent_at: 0,
-            heard_at: 0,
+            acked_sent_at: 0,
+            last_contact_at: 0,
             matched_at_heartbeat: 0,
             sent: None,
         }
     }
 
-    /// Whether entries from `first` on may be sent, because these were not, or long ago.
-    /// Sent again before the first copy has arrived, they only make it later: 1.2 MB that
-    /// a follower lacked became 12 MB a second (`tests/resending.rs`).
+    /// Returns whether entries from `first` on may be sent: they were not sent yet, or at
+    /// least `resend_after` ago. Sending them again while the first copy is in flight only
+    /// delays it: 1.2 MB of missing entries then cause 12 MB/s (`tests/resending.rs`).
     pub fn may_send(&self, now: Millis, first: LogIndex, resend_after: Millis) -> bool {
-        let is_on_its_way = |sent: SentEntries| sent.first == first && now < sent.at + resend_after;
-        !self.sent.is_some_and(is_on_its_way)
+        let is_in_flight = |sent: SentEntries| sent.first == first && now < sent.at + resend_after;
+        !self.sent.is_some_and(is_in_flight)
     }
 
-    /// The follower refused what was sent at `sent_at`. Messages keep their order, so what
-    /// was sent before has not arrived either.
-    pub fn note_refusal(&mut self, sent_at: Millis) {
+    /// Records that the follower rejected the append sent at `sent_at`. Messages stay in
+    /// order, so entries sent before it were lost.
+    pub fn note_rejection(&mut self, sent_at: Millis) {
         if self.sent.is_some_and(|sent| sent_at > sent.at) {
             self.sent = None;
         }
--- a/crates/coursestand-consensus/src/ready.rs
+++ b/crates/coursestand-consensus/src/ready.rs
@@ -1,34 +1,35 @@
-//! What the caller has to do after it changed a replica.
+//! The output of a replica that its caller has to process.
 
 use crate::ids::{LogIndex, ReplicaId};
 use crate::message::Message;
 use crate::types::{Entry, HardState, Snapshot};
 
-/// Work for the caller, in this order: send `messages`; apply `committed`; save
-/// `hard_state`, `snapshot` and `entries` and sync them; call `Replica::persisted`; send
-/// `messages_after_sync`; restore the state machine from `snapshot`. While it syncs, the
-/// replica takes messages and time in, and `Replica::take_messages` gives what it says.
+/// Work for the caller, in this order: send `messages`; apply `committed`; write and sync
+/// `hard_state`, `snapshot` and `entries`; call `Replica::persisted`; send
+/// `messages_after_sync`; restore the state machine from `snapshot`. During the sync the
+/// replica may be stepped and ticked, and `Replica::take_messages` returns the messages
+/// that it produces.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// Messages that may leave before anything is synced.
+    /// Messages that may be sent before the sync.
     pub messages: Vec<(ReplicaId, Message)>,
-    /// To be synced, when it changed.
+    /// Hard state to sync, if it changed.
     pub hard_state: Option<HardState>,
-    /// To be synced in place of the whole log.
+    /// Snapshot to sync; replaces the whole log.
     pub snapshot: Option<Snapshot>,
-    /// To be synced; an entry replaces those from its index on.
+    /// Entries to sync; an entry replaces all stored entries from its index on.
     pub entries: Vec<Entry>,
-    /// Messages that promise what is only true once it is synced.
+    /// Messages that must not be sent before the sync is done.
     pub messages_after_sync: Vec<(ReplicaId, Message)>,
-    /// To be applied, in order. Synced already, so that they need not wait; none when there
-    /// is a snapshot.
+    /// Entries to apply, in order. They are already synced, so they can be applied at once;
+    /// empty if there is a snapshot.
     pub committed: Vec<Entry>,
-    /// Last index of the log when this was made.
+    /// Last index of the log when this value was created.
     pub(crate) last_index: LogIndex,
 }
 
 impl Ready {
-    /// Whether anything has to be synced.
+    /// Returns whether there is anything to sync.
     pub fn needs_sync(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
--- a/crates/coursestand-consensus/src/replica/mod.rs
+++ b/crates/coursestand-consensus/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One replica of the group: elections, replication and commitment.
+//! One replica of the group: elections, replication and commit.
 
 mod election;
 mod replication;
@@ -20,118 +20,120 @@
 use crate::storage::Restored;
 use crate::types::{Entry, HardState, Payload};
 
-/// Why a proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// This replica doesn't lead.
-    #[snafu(display("this replica does not lead"))]
+    /// This replica is not the leader.
+    #[snafu(display("this replica is not the leader"))]
     NotLeader {
-        /// The leader, if it is known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// The leadership is being handed over.
-    #[snafu(display("the leadership is being handed over"))]
+    /// A leadership transfer is in progress.
+    #[snafu(display("a leadership transfer is in progress"))]
     Transferring,
-    /// An earlier membership change is not committed.
+    /// An earlier membership change is uncommitted, or this leader has not committed an
+    /// entry of its term.
     #[snafu(display("an earlier membership change is not committed"))]
     ChangePending,
-    /// The new membership differs in more than one member, or has no voter.
-    #[snafu(display("a membership change concerns one member and leaves a voter"))]
-    NotOneChange,
+    /// The new membership differs in more than one member, or has no voter; or the target
+    /// of a leadership transfer is not another voter.
+    #[snafu(display("a membership change must concern one member and leave a voter"))]
+    InvalidMembershipChange,
 }
 
-/// What a replica is in its term.
+/// Role of a replica in the current term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower {
-        /// The leader, once it was heard.
+        /// The leader, once known.
         leader: Option<ReplicaId>,
     },
-    /// Asks whether it would be elected.
+    /// Runs a pre-vote.
     PreCandidate {
-        /// Who would vote for it.
+        /// Replicas that granted the pre-vote.
         granted: BTreeSet<ReplicaId>,
-        /// When it began to ask.
+        /// When the pre-vote started.
         since: Millis,
     },
-    /// Asks for votes.
+    /// Runs an election.
     Candidate {
-        /// Who voted for it.
+        /// Replicas that granted their vote.
         granted: BTreeSet<ReplicaId>,
     },
-    /// Leads.
+    /// Leads the group.
     Leader(LeaderState),
 }
 
-/// What a leader keeps.
+/// State of a leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderState {
     progress: BTreeMap<ReplicaId, Progress>,
     /// Index of the first entry of this leader's term.
-    first_of_term: LogIndex,
+    first_index_of_term: LogIndex,
     elected_at: Millis,
     next_heartbeat: Millis,
     transfer: Option<Transfer>,
-    /// Set while others have committed what is not on this leader's own disk.
+    /// Set while committed entries are not synced to this leader's own disk.
     disk_lag: Option<DiskLag>,
-    /// Set once `TimeoutNow` was sent: that election ignores the loyalty to
-    /// this leader, so there is no lease any more in this term.
-    lease_given_up: bool,
+    /// Set once `TimeoutNow` is sent: the resulting election bypasses the leader lease,
+    /// so this leader has no lease for the rest of the term.
+    is_lease_revoked: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Transfer {
     to: ReplicaId,
-    give_up_at: Millis,
+    deadline: Millis,
 }
 
-/// Others have committed more than this leader's own disk holds.
+/// The leader's own disk is behind the commit index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DiskLag {
-    /// When the disk held this much first.
+    /// When the disk was first seen behind at this index.
     since: Millis,
     persisted: LogIndex,
 }
 
-/// A snapshot that arrives in pieces.
+/// A snapshot that is being received in chunks.
 #[derive(Clone, Debug, Default)]
 struct PartialSnapshot {
     last: LogPosition,
     data: Vec<u8>,
 }
 
-/// One replica, free of I/O.
+/// A replica of the group, without I/O.
 pub struct Replica {
     config: Config,
     random: StdRng,
     hard_state: HardState,
-    /// What storage was given.
+    /// Hard state that was handed to storage.
     saved_hard_state: HardState,
-    /// What storage has synced.
+    /// Hard state that storage has synced.
     synced_hard_state: HardState,
     log: Log,
-    /// First index that storage has not been given.
+    /// First index that was not handed to storage.
     unsaved_from: LogIndex,
-    unsaved_snapshot: bool,
-    /// A snapshot that took the log's place is not synced.
-    unsynced_snapshot: bool,
-    /// What an earlier `Ready` holds is not synced.
+    has_unsaved_snapshot: bool,
+    /// Whether a received snapshot that replaced the log is not synced.
+    has_unsynced_snapshot: bool,
+    /// Whether the contents of the latest `Ready` are being synced.
     is_syncing: bool,
     commit: LogIndex,
     applied: LogIndex,
     role: Role,
     election_due: Millis,
-    /// When a message of the current leader came last, or when this replica
-    /// started: it may have promised its loyalty just before.
-    heard_from_leader_at: Millis,
+    /// When the last message of a leader arrived, or when this replica started: it
+    /// may have acknowledged a leader just before that.
+    last_leader_contact_at: Millis,
     partial_snapshot: PartialSnapshot,
     messages: Vec<(ReplicaId, Message)>,
     messages_after_sync: Vec<(ReplicaId, Message)>,
 }
 
 impl Replica {
-    /// A replica that starts at `now` from what storage had saved.
+    /// Creates a replica at `now` from the restored state.
     pub fn new(config: Config, restored: Restored, now: Millis) -> Replica {
         let random = StdRng::seed_from_u64(config.seed);
         let log = Log::new(restored.snapshot, restored.entries);
@@ -142,15 +144,15 @@
             saved_hard_state: restored.hard_state,
             synced_hard_state: restored.hard_state,
             unsaved_from: log.last_index() + 1,
-            unsaved_snapshot: false,
-            unsynced_snapshot: false,
+            has_unsaved_snapshot: false,
+            has_unsynced_snapshot: false,
             is_syncing: false,
             commit: base,
             applied: base,
             log,
             role: Role::Follower { leader: None },
             election_due: 0,
-            heard_from_leader_at: now,
+            last_leader_contact_at: now,
             partial_snapshot: PartialSnapshot::default(),
             messages: Vec::new(),
             messages_after_sync: Vec::new(),
@@ -160,27 +162,28 @@
         replica
     }
 
-    /// Identity of this replica.
+    /// Returns the identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.config.replica
     }
 
-    /// Current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// What this replica is.
+    /// Returns the role of this replica.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// Whether this replica leads; a leader that was cut off may not know yet.
+    /// Returns whether this replica is the leader; a partitioned leader may already have
+    /// been replaced.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader as far as this replica knows.
+    /// Returns the leader, if known to this replica.
     pub fn leader(&self) -> Option<ReplicaId> {
         match &self.role {
             Role::Follower { leader } => *leader,
@@ -189,27 +192,28 @@
         }
     }
 
-    /// Highest committed index.
+    /// Returns the highest committed index.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// Highest index handed out in `Ready::committed`.
+    /// Returns the highest index returned in `Ready::committed`.
     pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Members by the newest entry of the log, committed or not.
+    /// Returns the latest membership in the log, committed or not.
     pub fn membership(&self) -> &Membership {
         self.log.membership_up_to(self.log.last_index()).1
     }
 
-    /// Progress of the followers, while this replica leads.
+    /// Returns the replication progress of the followers; `None` unless this replica
+    /// leads.
     pub fn progress(&self) -> Option<&BTreeMap<ReplicaId, Progress>> {
         match &self.role {
             Role::Leader(leader) => Some(&leader.progress),
@@ -217,77 +221,78 @@
         }
     }
 
-    /// Whether nobody else can have committed anything until `now`, so that
-    /// the state applied here is the newest there is. Check it again after
-    /// every wait.
+    /// Returns whether no other leader can have committed an entry up to `now`, so that
+    /// the state applied here is current. Must be checked again after every wait.
     pub fn holds_lease(&self, now: Millis) -> bool {
         self.lease_end(now).is_some_and(|end| now < end)
     }
 
-    /// Until when nobody else can commit anything, on this replica's clock.
-    /// `None` while this replica doesn't lead, or hasn't applied what leaders
-    /// before it committed.
+    /// Returns the time on this replica's clock until which no other leader can commit
+    /// an entry. `None` while this replica doesn't lead, or hasn't applied all entries
+    /// that earlier leaders committed.
     pub fn lease_end(&self, now: Millis) -> Option<Millis> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
-        if leader.lease_given_up || self.applied < leader.first_of_term {
+        if leader.is_lease_revoked || self.applied < leader.first_index_of_term {
             return None;
         }
         Some(self.lease_until(leader, now))
     }
 
-    /// A majority was loyal from these points on for the time of loyalty, less
-    /// what the clocks may differ.
+    /// Returns when the lease ends: the leader lease, less the clock drift, after this
+    /// leader sent the latest messages that a majority answered.
     fn lease_until(&self, leader: &LeaderState, now: Millis) -> Millis {
-        let own = self.id();
-        let loyal_since = self.membership().reached_by_quorum(|replica| {
-            if replica == own {
+        let local_id = self.id();
+        let lease_start = self.membership().quorum_value(|replica| {
+            if replica == local_id {
                 return now;
             }
             leader
                 .progress
                 .get(&replica)
-                .map_or(0, |progress| progress.answered_sent_at)
+                .map_or(0, |progress| progress.acked_sent_at)
         });
-        if loyal_since == 0 {
+        if lease_start == 0 {
             return 0;
         }
-        let loyalty = self.config.loyalty;
-        loyal_since + loyalty - loyalty / self.config.clock_drift
+        let leader_lease = self.config.leader_lease;
+        lease_start + leader_lease - leader_lease / self.config.clock_drift_divisor
     }
 
-    /// Lets time pass.
+    /// Advances the clock to `now`: runs the timers that are due.
     pub fn tick(&mut self, now: Millis) {
         if let Role::Leader(leader) = &self.role {
-            let heartbeat_due = now >= leader.next_heartbeat;
-            let transfer_failed = leader
+            let is_heartbeat_due = now >= leader.next_heartbeat;
+            let has_transfer_expired = leader
                 .transfer
-                .is_some_and(|transfer| now >= transfer.give_up_at);
-            if !self.hears_quorum(now) || transfer_failed {
+                .is_some_and(|transfer| now >= transfer.deadline);
+            if !self.has_quorum_contact(now) || has_transfer_expired {
                 self.become_follower(self.hard_state.term, None, now);
                 return;
             }
-            if heartbeat_due {
+            if is_heartbeat_due {
                 self.send_heartbeats(now);
             }
-            self.make_room_if_disk_lags(now);
+            self.transfer_if_disk_lags(now);
         } else if now >= self.election_due {
             self.start_pre_vote(now);
         }
     }
 
-    /// Takes a message in.
+    /// Processes a message.
     pub fn step(&mut self, now: Millis, from: ReplicaId, message: Message) {
         match message.body {
             Body::PreVote(last) => return self.answer_pre_vote(now, from, message.term, last),
             Body::PreVoteAnswer { granted } => {
-                return self.take_pre_vote(now, from, message.term, granted);
+                return self.handle_pre_vote_answer(now, from, message.term, granted);
             }
             Body::Vote { is_transfer, .. }
-                if message.term > self.hard_state.term && !is_transfer && self.is_loyal(now) =>
+                if message.term > self.hard_state.term
+                    && !is_transfer
+                    && self.is_in_leader_lease(now) =>
             {
-                // Loyalty protects the leader's lease: not even the term moves.
+                // Protects the leader's lease: even the term stays unchanged.
                 return;
             }
             _ => {}
@@ -304,21 +309,21 @@
         }
         match message.body {
             Body::Vote { last, .. } => self.answer_vote(now, from, last),
-            Body::VoteAnswer { granted } => self.take_vote(now, from, granted),
-            Body::Append(append) => self.take_append(now, from, append),
-            Body::AppendAnswer(answer) => self.take_append_answer(now, from, answer),
-            Body::Snapshot(chunk) => self.take_snapshot_chunk(now, from, chunk),
+            Body::VoteAnswer { granted } => self.handle_vote_answer(now, from, granted),
+            Body::Append(append) => self.handle_append(now, from, append),
+            Body::AppendAnswer(answer) => self.handle_append_answer(now, from, answer),
+            Body::Snapshot(chunk) => self.handle_snapshot_chunk(now, from, chunk),
             Body::SnapshotAnswer {
                 index,
                 received,
                 sent_at,
-            } => self.take_snapshot_answer(now, from, index, received, sent_at),
-            Body::TimeoutNow => self.take_timeout_now(now, from),
+            } => self.handle_snapshot_answer(now, from, index, received, sent_at),
+            Body::TimeoutNow => self.handle_timeout_now(now, from),
             Body::PreVote(_) | Body::PreVoteAnswer { .. } => {}
         }
     }
 
-    /// Tells the sender of an old term the current one.
+    /// Answers a message of an old term, so that its sender learns the current term.
     fn answer_stale(&mut self, from: ReplicaId, body: &Body) {
         match body {
             Body::Append(append) => {
@@ -329,8 +334,8 @@
                 };
                 self.send_after_sync(from, Body::AppendAnswer(answer));
             }
-            // A leader that sends nothing but a snapshot has to hear of the newer term
-            // as well, or this replica never comes back into the group.
+            // A leader that sends only snapshot chunks must learn of the newer term too,
+            // or this replica can never rejoin the group.
             Body::Snapshot(chunk) => {
                 let answer = Body::SnapshotAnswer {
                     index: chunk.last.index,
@@ -344,7 +349,7 @@
         }
     }
 
-    /// Proposes an entry; it is committed when `Ready::committed` brings it.
+    /// Proposes an entry; it is committed once `Ready::committed` contains it.
     pub fn propose(&mut self, now: Millis, payload: Payload) -> Result<LogIndex, ProposeError> {
         let known_leader = self.leader();
         let Role::Leader(leader) = &self.role else {
@@ -356,39 +361,45 @@
             return Err(ProposeError::Transferring);
         }
         if let Payload::Membership(next) = &payload {
-            self.check_change(leader, next)?;
+            self.check_membership_change(leader, next)?;
         }
-        let index = self.append_own(payload);
-        self.adopt_membership(now);
+        let index = self.append_entry(payload);
+        self.apply_membership(now);
         self.send_to_all(now);
         Ok(index)
     }
 
-    /// One change at a time, and only once this leader has committed an entry
-    /// of its own term: else two groups without a common majority could form.
-    fn check_change(&self, leader: &LeaderState, next: &Membership) -> Result<(), ProposeError> {
+    /// Allows one membership change at a time, and only once this leader has committed an
+    /// entry of its term. Otherwise two groups without a common majority could form.
+    fn check_membership_change(
+        &self,
+        leader: &LeaderState,
+        next: &Membership,
+    ) -> Result<(), ProposeError> {
         let (index, current) = self.log.membership_up_to(self.log.last_index());
-        if index > self.commit || self.commit < leader.first_of_term {
+        if index > self.commit || self.commit < leader.first_index_of_term {
             return Err(ProposeError::ChangePending);
         }
-        if !current.differs_by_one(next) {
-            return Err(ProposeError::NotOneChange);
+        if !current.is_single_change(next) {
+            return Err(ProposeError::InvalidMembershipChange);
         }
         Ok(())
     }
 
-    /// Messages that may leave while an earlier `Ready` is being synced.
+    /// Takes the messages that may be sent while an earlier `Ready` is being synced.
     pub fn take_messages(&mut self) -> Vec<(ReplicaId, Message)> {
         std::mem::take(&mut self.messages)
     }
 
-    /// What the caller has to do now. The next one is asked for once all of this one is
-    /// done; while it syncs, messages arrive and time passes as usual.
+    /// Returns the work for the caller, who must complete it before the next call. During
+    /// the sync, messages may be stepped and the clock advanced as usual.
     pub fn ready(&mut self) -> Ready {
         let hard_state = (self.hard_state != self.saved_hard_state).then_some(self.hard_state);
         self.saved_hard_state = self.hard_state;
-        let snapshot = self.unsaved_snapshot.then(|| self.log.snapshot().clone());
-        self.unsaved_snapshot = false;
+        let snapshot = self
+            .has_unsaved_snapshot
+            .then(|| self.log.snapshot().clone());
+        self.has_unsaved_snapshot = false;
         let entries = self
             .log
             .entries_from(self.unsaved_from, usize::MAX)
@@ -407,7 +418,7 @@
         ready
     }
 
-    /// Entries that are committed and synced here.
+    /// Takes the entries that are committed and synced here but not yet applied.
     fn take_committed(&mut self) -> Vec<Entry> {
         let until = self.commit.min(self.log.persisted());
         if until <= self.applied {
@@ -419,7 +430,7 @@
         committed
     }
 
-    /// Everything in `ready` is synced.
+    /// Records that everything in `ready` is synced.
     pub fn persisted(&mut self, now: Millis, ready: &Ready) {
         self.is_syncing = false;
         if let Some(hard_state) = ready.hard_state {
@@ -428,9 +439,9 @@
         if let Some(snapshot) = &ready.snapshot
             && snapshot.index == self.log.snapshot().index
         {
-            self.unsynced_snapshot = false;
+            self.has_unsynced_snapshot = false;
         }
-        // What was truncated since is in a later `Ready`.
+        // If the log was truncated since, a later `Ready` contains the new entries.
         if self.unsaved_from > ready.last_index {
             self.log.set_persisted(ready.last_index);
         }
@@ -450,7 +461,7 @@
         self.reset_election_timer(now);
     }
 
-    fn append_own(&mut self, payload: Payload) -> LogIndex {
+    fn append_entry(&mut self, payload: Payload) -> LogIndex {
         let index = self.log.last_index() + 1;
         self.log.push(Entry {
             term: self.hard_state.term,
@@ -460,9 +471,10 @@
         index
     }
 
-    /// Follows the newest membership of the log, also before it is committed.
-    fn adopt_membership(&mut self, now: Millis) {
-        let own = self.id();
+    /// Applies the latest membership of the log, even before it is committed, to the
+    /// set of followers.
+    fn apply_membership(&mut self, now: Millis) {
+        let local_id = self.id();
         let next = self.log.last_index() + 1;
         let members: BTreeSet<ReplicaId> = self.membership().members.keys().copied().collect();
         let Role::Leader(leader) = &mut self.role else {
@@ -471,9 +483,9 @@
         leader
             .progress
             .retain(|replica, _| members.contains(replica));
-        for replica in members.into_iter().filter(|replica| *replica != own) {
+        for replica in members.into_iter().filter(|replica| *replica != local_id) {
             leader.progress.entry(replica).or_insert_with(|| Progress {
-                heard_at: now,
+                last_contact_at: now,
                 ..Progress::new(next)
             });
         }
--- a/crates/coursestand-consensus/src/replica/replication.rs
+++ b/crates/coursestand-consensus/src/replica/replication.rs
@@ -6,12 +6,12 @@
 use crate::progress::{SendState, SentEntries};
 use crate::types::Entry;
 
-/// The first of these entries, one at least, that have so many bytes together.
-fn bounded(entries: &[Entry], most_bytes: usize) -> &[Entry] {
+/// Returns the longest prefix of `entries` within `max_bytes`, but at least one entry.
+fn limit_bytes(entries: &[Entry], max_bytes: usize) -> &[Entry] {
     let mut bytes = 0;
     let fits = |entry: &&Entry| {
         bytes += entry.payload.size();
-        bytes <= most_bytes
+        bytes <= max_bytes
     };
     let count = entries.iter().take_while(fits).count();
     &entries[..count.max(1).min(entries.len())]
@@ -41,8 +41,8 @@
         if let Role::Leader(leader) = &mut self.role {
             leader.next_heartbeat = now + heartbeat;
             for progress in leader.progress.values_mut() {
-                // No progress for so long: something was lost. A new leader has sent nothing
-                // yet, and asks what the follower has before it sends anything.
+                // No progress since the last heartbeat, and `resend_after` has passed: entries
+                // were lost. A new leader has sent none and probes the follower's log first.
                 let is_due = progress
                     .sent
                     .is_some_and(|sent| now >= sent.at + self.config.resend_after);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends what the follower lacks, or an empty append as a heartbeat.
+    /// Sends the entries that the follower lacks, or an empty append as a heartbeat.
     pub(super) fn send_append(&mut self, now: Millis, to: ReplicaId) {
         let base = self.log.snapshot().index;
         let last = self.log.last_index();
@@ -86,7 +86,7 @@
         let first = progress.next.max(1);
         let entries = if progress.may_send(now, first, self.config.resend_after) {
             let entries = self.log.entries_from(first, max_batch);
-            bounded(entries, self.config.max_batch_bytes).to_vec()
+            limit_bytes(entries, self.config.max_batch_bytes).to_vec()
         } else {
             Vec::new()
         };
@@ -109,20 +109,20 @@
         self.send(to, Body::Append(append));
     }
 
-    /// A message of the leader of this term.
-    pub(super) fn follow(&mut self, now: Millis, leader: ReplicaId) {
+    /// Follows the leader of the current term after a message from it.
+    pub(super) fn follow_leader(&mut self, now: Millis, leader: ReplicaId) {
         self.role = Role::Follower {
             leader: Some(leader),
         };
-        self.heard_from_leader_at = now;
+        self.last_leader_contact_at = now;
         self.reset_election_timer(now);
     }
 
-    pub(super) fn take_append(&mut self, now: Millis, from: ReplicaId, append: Append) {
-        self.follow(now, from);
+    pub(super) fn handle_append(&mut self, now: Millis, from: ReplicaId, append: Append) {
+        self.follow_leader(now, from);
         let previous = append.previous;
         if previous.index < self.log.snapshot().index {
-            // The snapshot covers the start; it is committed, so it is equal.
+            // The local snapshot includes the start; it is committed, so it matches.
             return self.answer_append(from, self.log.snapshot().index, true, append.sent_at);
         }
         if self.log.term_at(previous.index) != Some(previous.term) {
@@ -134,7 +134,10 @@
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => {}
                 Some(_) => {
-                    debug_assert!(entry.index > self.commit, "committed entries stay");
+                    debug_assert!(
+                        entry.index > self.commit,
+                        "committed entries must not be truncated"
+                    );
                     self.log.truncate(entry.index);
                     self.unsaved_from = self.unsaved_from.min(entry.index);
                     self.log.push(entry);
@@ -158,37 +161,38 @@
             matched,
             sent_at,
         };
-        if matched && self.answers_before_sync() {
-            let synced = self.synced_part(index);
-            let is_all = index <= synced;
-            if is_all || self.is_syncing {
-                self.send_answer(to, index.min(synced), sent_at);
+        if matched && self.may_answer_before_sync() {
+            let synced = self.synced_index(index);
+            let is_fully_synced = index <= synced;
+            if is_fully_synced || self.is_syncing {
+                self.send_append_answer(to, index.min(synced), sent_at);
             }
-            if is_all {
+            if is_fully_synced {
                 return;
             }
         }
         self.send_after_sync(to, Body::AppendAnswer(answer));
     }
 
-    /// Whether the term is on the disk and so is the log's base: the leader may then be
-    /// told at once what else is there. It counts on nothing more, and keeps its lease
-    /// however long the disk takes. With syncs held for 4.4 s at all replicas nobody led
-    /// for 4.1 s without this (a test, one run).
-    fn answers_before_sync(&self) -> bool {
-        let is_synced = self.hard_state == self.synced_hard_state && !self.unsynced_snapshot;
-        is_synced || !self.config.mechanisms.answer_for_synced_only
+    /// Returns whether an append may be answered before the sync ends: the hard state and
+    /// the snapshot under the log are on disk. The answer then acknowledges only the synced
+    /// prefix of the log, and lets the leader keep its lease however long the disk takes.
+    /// Without this, a stall of 4.4 s on all disks leaves the group without a leader for
+    /// 4.1 s.
+    fn may_answer_before_sync(&self) -> bool {
+        let is_synced = self.hard_state == self.synced_hard_state && !self.has_unsynced_snapshot;
+        is_synced || !self.config.mechanisms.acknowledge_synced_only
     }
 
-    fn synced_part(&self, index: LogIndex) -> LogIndex {
-        if self.config.mechanisms.answer_for_synced_only {
+    fn synced_index(&self, index: LogIndex) -> LogIndex {
+        if self.config.mechanisms.acknowledge_synced_only {
             self.log.persisted()
         } else {
             index
         }
     }
 
-    fn send_answer(&mut self, to: ReplicaId, index: LogIndex, sent_at: Millis) {
+    fn send_append_answer(&mut self, to: ReplicaId, index: LogIndex, sent_at: Millis) {
         let answer = AppendAnswer {
             index,
             matched: true,
@@ -197,7 +201,7 @@
         self.send(to, Body::AppendAnswer(answer));
     }
 
-    pub(super) fn take_append_answer(
+    pub(super) fn handle_append_answer(
         &mut self,
         now: Millis,
         from: ReplicaId,
@@ -209,16 +213,16 @@
         let Some(progress) = leader.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
-        progress.answered_sent_at = progress.answered_sent_at.max(answer.sent_at);
+        progress.last_contact_at = now;
+        progress.acked_sent_at = progress.acked_sent_at.max(answer.sent_at);
         if !answer.matched {
-            // A late refusal tells nothing about what has matched since.
+            // A delayed rejection says nothing about entries that matched since.
             if answer.index >= progress.matched {
                 progress.state = SendState::Probe;
                 progress.next = (answer.index + 1)
                     .min(progress.next)
                     .max(progress.matched + 1);
-                progress.note_refusal(answer.sent_at);
+                progress.note_rejection(answer.sent_at);
                 if progress.may_send(now, progress.next, self.config.resend_after) {
                     self.send_append(now, from);
                 }
@@ -231,23 +235,23 @@
             progress.state = SendState::Replicate;
         }
         let is_due = progress.may_send(now, progress.next, self.config.resend_after);
-        let more = is_due && progress.next <= self.log.last_index();
+        let has_more = is_due && progress.next <= self.log.last_index();
         self.advance_commit(now);
-        if more {
+        if has_more {
             self.send_append(now, from);
         }
         self.continue_transfer(now, from);
     }
 
     pub(super) fn advance_commit(&mut self, now: Millis) {
-        let own = self.id();
+        let local_id = self.id();
         let persisted = self.log.persisted();
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let reached = self.membership().reached_by_quorum(|replica| {
-            if replica == own {
-                // Our own copy counts once it is synced, like any other.
+        let quorum_index = self.membership().quorum_value(|replica| {
+            if replica == local_id {
+                // The leader's own copy counts once it is synced, like any other.
                 return persisted;
             }
             leader
@@ -255,18 +259,18 @@
                 .get(&replica)
                 .map_or(0, |progress| progress.matched)
         });
-        let of_own_term = self.log.term_at(reached) == Some(self.hard_state.term);
-        let allowed = of_own_term || !self.config.mechanisms.commit_own_term_only;
-        if reached <= self.commit || !allowed {
+        let is_current_term = self.log.term_at(quorum_index) == Some(self.hard_state.term);
+        let may_commit = is_current_term || !self.config.mechanisms.commit_current_term_only;
+        if quorum_index <= self.commit || !may_commit {
             return;
         }
-        self.commit = reached;
+        self.commit = quorum_index;
         let (changed_at, membership) = self.log.membership_up_to(self.commit);
-        let removed = changed_at > 0 && !membership.members.contains_key(&own);
-        if removed {
+        let is_removed = changed_at > 0 && !membership.members.contains_key(&local_id);
+        if is_removed {
             return self.become_follower(self.hard_state.term, None, now);
         }
-        // Followers learn of the commit at once, not with the next heartbeat.
+        // Sends the new commit index at once, without waiting for the next heartbeat.
         self.send_to_all(now);
     }
 }
--- a/crates/coursestand-consensus/src/replica/snapshots.rs
+++ b/crates/coursestand-consensus/src/replica/snapshots.rs
@@ -1,4 +1,4 @@
-//! Shortening the log, and sending snapshots in chunks.
+//! Log compaction and chunked snapshot transfer.
 
 use super::{PartialSnapshot, Replica, Role};
 use crate::ids::{LogIndex, Millis, ReplicaId};
@@ -7,8 +7,9 @@
 use crate::types::{Entry, HardState, Snapshot};
 
 impl Replica {
-    /// A snapshot of the state machine at `index`, to shorten the log. Returns
-    /// it with the hard state and the entries after it, for `Storage::compact`.
+    /// Compacts the log with `data`, the state machine at `index`. Returns the snapshot,
+    /// the hard state and the entries after `index`, for `Storage::compact`; `None` if
+    /// `index` is not applied or already compacted.
     pub fn compact(
         &mut self,
         index: LogIndex,
@@ -24,8 +25,8 @@
             data: data.into(),
         };
         self.log.compact(snapshot.clone());
-        let rest = self.log.entries_from(index + 1, usize::MAX).to_vec();
-        Some((snapshot, self.hard_state, rest))
+        let tail = self.log.entries_from(index + 1, usize::MAX).to_vec();
+        Some((snapshot, self.hard_state, tail))
     }
 
     pub(super) fn send_snapshot_chunk(&mut self, now: Millis, to: ReplicaId) {
@@ -55,13 +56,13 @@
         self.send(to, Body::Snapshot(chunk));
     }
 
-    pub(super) fn take_snapshot_chunk(
+    pub(super) fn handle_snapshot_chunk(
         &mut self,
         now: Millis,
         from: ReplicaId,
         chunk: SnapshotChunk,
     ) {
-        self.follow(now, from);
+        self.follow_leader(now, from);
         let index = chunk.last.index;
         if index <= self.commit {
             return self.answer_append(from, self.commit, true, chunk.sent_at);
@@ -98,12 +99,12 @@
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.unsaved_from = snapshot.index + 1;
-        self.unsaved_snapshot = true;
-        self.unsynced_snapshot = true;
+        self.has_unsaved_snapshot = true;
+        self.has_unsynced_snapshot = true;
         self.log.install(snapshot);
     }
 
-    pub(super) fn take_snapshot_answer(
+    pub(super) fn handle_snapshot_answer(
         &mut self,
         now: Millis,
         from: ReplicaId,
@@ -117,13 +118,13 @@
         let Some(progress) = leader.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
-        progress.answered_sent_at = progress.answered_sent_at.max(sent_at);
+        progress.last_contact_at = now;
+        progress.acked_sent_at = progress.acked_sent_at.max(sent_at);
         match &mut progress.state {
             SendState::Snapshot {
                 index: sending,
-                received: known,
-            } if *sending == index => *known = received,
+                received: acked,
+            } if *sending == index => *acked = received,
             _ => return,
         }
         self.send_append(now, from);
--- a/crates/coursestand-consensus/src/storage.rs
+++ b/crates/coursestand-consensus/src/storage.rs
@@ -1,4 +1,4 @@
-//! Where a replica saves what it must not forget.
+//! Persistent storage of a replica.
 
 use std::path::PathBuf;
 
@@ -7,64 +7,64 @@
 use crate::ids::LogIndex;
 use crate::types::{Entry, HardState, Snapshot};
 
-/// What has to be saved together.
+/// Changes that must be persisted atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
-    /// Replaces the one saved before.
+    /// Replaces the stored hard state.
     pub hard_state: Option<HardState>,
-    /// Replaces the whole log.
+    /// Replaces the whole stored log.
     pub snapshot: Option<Snapshot>,
-    /// Each entry replaces those saved from its index on.
+    /// Each entry replaces all stored entries from its index on.
     pub entries: Vec<Entry>,
 }
 
-/// What storage had saved.
+/// Contents of the storage.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Restored {
-    /// The newest one saved.
+    /// Latest hard state.
     pub hard_state: HardState,
-    /// The newest one saved.
+    /// Latest snapshot.
     pub snapshot: Snapshot,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Why storage failed. Every error is fatal for the replica: what it saved is no
-/// longer known, so it must not promise anything further.
+/// Storage errors. Every error is fatal for the replica: the state on disk is unknown, so
+/// the replica must not acknowledge or vote for anything after it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// A file operation failed; a full disk and a failed sync are among these.
+    /// A file operation failed; includes a full disk and a failed sync.
     #[snafu(display("{}: {operation}: {source}", path.display()))]
     File {
         /// File or folder.
         path: PathBuf,
-        /// What was tried.
+        /// The failed operation.
         operation: &'static str,
         /// Cause.
         source: std::io::Error,
     },
-    /// The file is damaged before its end, so it can't be a write that was cut
-    /// off by a crash.
-    #[snafu(display("{}: damaged at byte {offset}: {what}", path.display()))]
-    Damaged {
+    /// The file is corrupt before its end, so a write that was interrupted by a crash
+    /// can't be the cause.
+    #[snafu(display("{}: corrupt at byte {offset}: {what}", path.display()))]
+    Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where.
+        /// Byte offset of the corrupt frame.
         offset: u64,
-        /// What is wrong.
+        /// Description of the fault.
         what: &'static str,
     },
-    /// Entries are missing.
+    /// The log has a gap: entries are missing.
     #[snafu(display(
         "{}: entry {found} follows entry {last}: entries are missing", path.display()
     ))]
     Gap {
         /// The file.
         path: PathBuf,
-        /// Index found.
+        /// Index of the entry after the gap.
         found: LogIndex,
-        /// Index before it.
+        /// Index of the last entry before the gap.
         last: LogIndex,
     },
     /// A record can't be encoded.
@@ -73,7 +73,7 @@
         /// Cause.
         source: postcard::Error,
     },
-    /// Another process has the folder open.
+    /// The folder is locked by another process.
     #[snafu(display("{}: another process uses this folder", path.display()))]
     InUse {
         /// The folder.
@@ -81,36 +81,36 @@
     },
 }
 
-/// Saves and restores the state of a replica.
+/// Persists the state of a replica.
 pub trait Storage {
-    /// Saves a batch as a whole; it is synced when this returns.
+    /// Writes a batch atomically and syncs it before returning.
     fn save(&mut self, batch: &Batch) -> Result<(), StorageError>;
 
-    /// Saves a snapshot of the replica's own and drops the entries that it
-    /// covers; `rest` are the entries after it.
+    /// Writes a snapshot and removes the entries that it includes; `tail` holds the
+    /// entries after it.
     fn compact(
         &mut self,
         snapshot: &Snapshot,
         hard_state: HardState,
-        rest: &[Entry],
+        tail: &[Entry],
     ) -> Result<(), StorageError>;
 }
 
-/// Storage in memory, for tests and simulations.
+/// In-memory storage for tests and simulations.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
     saved: Restored,
 }
 
 impl MemoryStorage {
-    /// What a replica finds here after a restart.
+    /// Returns the state that a replica restores after a restart.
     pub fn restored(&self) -> Restored {
         self.saved.clone()
     }
 }
 
 impl Restored {
-    /// Takes a batch over.
+    /// Applies a batch.
     pub fn apply(&mut self, batch: &Batch) {
         if let Some(hard_state) = batch.hard_state {
             self.hard_state = hard_state;
@@ -136,12 +136,12 @@
         &mut self,
         snapshot: &Snapshot,
         hard_state: HardState,
-        rest: &[Entry],
+        tail: &[Entry],
     ) -> Result<(), StorageError> {
         self.saved = Restored {
             hard_state,
             snapshot: snapshot.clone(),
-            entries: rest.to_vec(),
+            entries: tail.to_vec(),
         };
         Ok(())
     }
--- a/crates/coursestand-consensus/src/types.rs
+++ b/crates/coursestand-consensus/src/types.rs
@@ -1,4 +1,4 @@
-//! Records of the replicated log.
+//! Persistent data types of the replicated log.
 
 use std::sync::Arc;
 
@@ -7,19 +7,20 @@
 use crate::ids::{LogIndex, ReplicaId, Term};
 use crate::membership::Membership;
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// The first entry of a leader: lets it commit what earlier terms left.
+    /// The no-op that a leader appends on election, so that it can commit entries of
+    /// earlier terms.
     Empty,
-    /// A command of the state machine, encoded by it.
+    /// An encoded command of the state machine.
     Command(Vec<u8>),
-    /// The members from here on.
+    /// The membership that is in effect from this entry on.
     Membership(Membership),
 }
 
 impl Payload {
-    /// About the bytes that it takes in a message.
+    /// Returns the approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Payload::Command(bytes) => bytes.len(),
@@ -31,32 +32,32 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// Its position.
+    /// Position in the log.
     pub index: LogIndex,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
-/// What a replica must remember across a restart beside its log.
+/// State besides the log that a replica must persist across restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term seen.
+    /// Highest term seen.
     pub term: Term,
-    /// Candidate that got this replica's vote in that term.
+    /// Candidate that this replica voted for in that term.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// The state machine up to an index, in place of the log up to there.
+/// The state machine at an index; replaces the log up to and including that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last index that it covers; 0 for none.
+    /// Last included index; 0 if there is no snapshot.
     pub index: LogIndex,
-    /// Term of that index.
+    /// Term of the entry at `index`.
     pub term: Term,
-    /// Members at that index.
+    /// Membership at `index`.
     pub membership: Membership,
-    /// The state machine, encoded by it.
+    /// The encoded state machine.
     pub data: Arc<Vec<u8>>,
 }
--- a/crates/coursestand-consensus/src/wal.rs
+++ b/crates/coursestand-consensus/src/wal.rs
@@ -1,12 +1,12 @@
-//! Storage on disk: a write-ahead log in segment files, and snapshots.
+//! On-disk storage: a write-ahead log in segment files, and snapshots.
 //!
-//! A frame is a header of 12 bytes (length, checksum of the payload, checksum of
-//! these two; each four bytes, little endian) and a payload: one batch in the
-//! `postcard` encoding. A batch is one frame, so it is there as a whole or not at
-//! all. Frames are synced before `save` returns.
+//! A frame consists of a 12-byte header (length, CRC-32C of the payload, CRC-32C of
+//! these two fields; four bytes each, little endian) and a payload: one batch in the
+//! `postcard` encoding. Each batch is a single frame, which makes it atomic. Frames are
+//! synced before `save` returns.
 //!
-//! On restart a frame that was cut off at the end of the newest segment is
-//! dropped: it was never acknowledged. Damage anywhere else is refused.
+//! On restart, a truncated frame at the end of the newest segment is discarded: it was
+//! never acknowledged. Corruption anywhere else is an error.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -17,12 +17,12 @@
 
 use crate::ids::LogIndex;
 use crate::storage::{
-    Batch, DamagedSnafu, EncodeSnafu, FileSnafu, GapSnafu, InUseSnafu, Restored, Storage,
+    Batch, CorruptSnafu, EncodeSnafu, FileSnafu, GapSnafu, InUseSnafu, Restored, Storage,
     StorageError,
 };
 use crate::types::{Entry, HardState, Snapshot};
 
-/// A segment longer than this many bytes is followed by a new one.
+/// Segment size in bytes above which a new segment is started.
 pub const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
 const HEADER_BYTES: usize = 12;
@@ -31,16 +31,16 @@
 const TEMPORARY_SUFFIX: &str = ".tmp";
 const LOCK_FILE: &str = "lock";
 
-/// What a frame of a segment holds.
+/// Payload of a segment frame.
 #[derive(Serialize, Deserialize)]
 struct Record {
     hard_state: Option<HardState>,
-    /// The log starts after this index again: a snapshot took its place.
+    /// Resets the log to start after this index, the last one included in a snapshot.
     restart_after: Option<LogIndex>,
     entries: Vec<Entry>,
 }
 
-/// A write-ahead log in a folder of its own.
+/// A write-ahead log in a dedicated folder, which it locks.
 pub struct WriteAheadLog {
     folder: PathBuf,
     segment: File,
@@ -52,15 +52,15 @@
 }
 
 impl WriteAheadLog {
-    /// Opens the log in `folder`, which is made if it is not there, and returns
-    /// what was saved.
+    /// Opens the log in `folder`, which is created if missing, and returns the
+    /// restored state.
     pub fn open(folder: &Path) -> Result<(WriteAheadLog, Restored), StorageError> {
         std::fs::create_dir_all(folder).context(FileSnafu {
             path: folder,
-            operation: "make the folder",
+            operation: "create the folder",
         })?;
         let lock = lock(folder)?;
-        remove_temporary(folder)?;
+        remove_temporary_files(folder)?;
         let mut replay = Replay::new(newest_snapshot(folder)?);
         let segments = numbered_files(folder, SEGMENT_SUFFIX)?;
         for (position, (_, path)) in segments.iter().enumerate() {
@@ -79,19 +79,20 @@
             hard_state: restored.hard_state,
             _lock: lock,
         };
-        // A fresh segment holds everything, so that a cut frame is left behind.
-        let everything = Record {
+        // The new segment starts with the full state, so the older ones, which may end
+        // in a truncated frame, can be removed.
+        let full_state = Record {
             hard_state: Some(restored.hard_state),
             restart_after: Some(restored.snapshot.index),
             entries: restored.entries.clone(),
         };
-        log.write(&everything)?;
-        log.remove_before(restored.snapshot.index)?;
+        log.write(&full_state)?;
+        log.remove_obsolete(restored.snapshot.index)?;
         Ok((log, restored))
     }
 
     fn write(&mut self, record: &Record) -> Result<(), StorageError> {
-        let frame = frame_of(record)?;
+        let frame = encode_frame(record)?;
         let context = |operation| FileSnafu {
             path: self.segment_path.clone(),
             operation,
@@ -116,7 +117,7 @@
             .folder
             .join(format!("{:020}{SNAPSHOT_SUFFIX}", snapshot.index));
         let temporary = path.with_extension("tmp");
-        let frame = frame_of(snapshot)?;
+        let frame = encode_frame(snapshot)?;
         let context = |operation| FileSnafu {
             path: temporary.clone(),
             operation,
@@ -128,9 +129,9 @@
         sync_folder(&self.folder)
     }
 
-    /// Removes segments before the current one and snapshots before `index`:
-    /// the current segment and that snapshot hold everything.
-    fn remove_before(&self, index: LogIndex) -> Result<(), StorageError> {
+    /// Removes segments older than the current one and snapshots older than `index`:
+    /// the current segment and the snapshot at `index` contain the full state.
+    fn remove_obsolete(&self, index: LogIndex) -> Result<(), StorageError> {
         let segments = numbered_files(&self.folder, SEGMENT_SUFFIX)?;
         let snapshots = numbered_files(&self.folder, SNAPSHOT_SUFFIX)?;
         let old_segments = segments
@@ -169,7 +170,7 @@
         &mut self,
         snapshot: &Snapshot,
         hard_state: HardState,
-        rest: &[Entry],
+        tail: &[Entry],
     ) -> Result<(), StorageError> {
         self.hard_state = hard_state;
         self.write_snapshot(snapshot)?;
@@ -177,9 +178,9 @@
         self.write(&Record {
             hard_state: Some(hard_state),
             restart_after: Some(snapshot.index),
-            entries: rest.to_vec(),
+            entries: tail.to_vec(),
         })?;
-        self.remove_before(snapshot.index)
+        self.remove_obsolete(snapshot.index)
     }
 }
 
@@ -221,7 +222,7 @@
     Ok((file, path))
 }
 
-/// Files named by a number and `suffix`, in the order of their numbers.
+/// Returns the files whose names are a number and `suffix`, sorted by number.
 fn numbered_files(folder: &Path, suffix: &str) -> Result<Vec<(u64, PathBuf)>, StorageError> {
     let context = |operation| FileSnafu {
         path: folder,
@@ -243,8 +244,8 @@
     Ok(files)
 }
 
-/// Files that were being written when the process ended.
-fn remove_temporary(folder: &Path) -> Result<(), StorageError> {
+/// Removes files whose writing was interrupted by the end of the process.
+fn remove_temporary_files(folder: &Path) -> Result<(), StorageError> {
     for (_, path) in numbered_files(folder, TEMPORARY_SUFFIX)? {
         std::fs::remove_file(&path).context(FileSnafu {
             path,
@@ -270,20 +271,20 @@
         return Ok(Restored::default());
     };
     let bytes = read_file(&path)?;
-    // A snapshot got its name only once it was synced: it is never cut off.
-    let FrameRead::Whole { payload, .. } = read_frame(&bytes, 0) else {
-        return DamagedSnafu {
+    // A snapshot is renamed only after its sync, so it can't be truncated.
+    let FrameRead::Complete { payload, .. } = read_frame(&bytes, 0) else {
+        return CorruptSnafu {
             path,
             offset: 0u64,
-            what: "the snapshot's checksum does not fit",
+            what: "snapshot checksum mismatch",
         }
         .fail();
     };
     let Ok(snapshot) = postcard::from_bytes(payload) else {
-        return DamagedSnafu {
+        return CorruptSnafu {
             path,
             offset: 0u64,
-            what: "the snapshot can't be decoded",
+            what: "snapshot can't be decoded",
         }
         .fail();
     };
@@ -297,8 +298,8 @@
     let bytes = read_file(path)?;
     let mut offset = 0;
     while offset < bytes.len() {
-        let damaged = |what| {
-            DamagedSnafu {
+        let corrupt = |what| {
+            CorruptSnafu {
                 path,
                 offset: offset as u64,
                 what,
@@ -306,38 +307,38 @@
             .fail()
         };
         match read_frame(&bytes, offset) {
-            FrameRead::Whole { payload, end } => {
+            FrameRead::Complete { payload, end } => {
                 let Ok(record) = postcard::from_bytes::<Record>(payload) else {
-                    return damaged("the record can't be decoded");
+                    return corrupt("record can't be decoded");
                 };
-                replay.take(path, record)?;
+                replay.apply_record(path, record)?;
                 offset = end;
             }
-            FrameRead::CutOff if is_newest => break,
-            FrameRead::CutOff => return damaged("the segment ends early"),
-            FrameRead::Damaged(what) => return damaged(what),
+            FrameRead::Truncated if is_newest => break,
+            FrameRead::Truncated => return corrupt("segment ends early"),
+            FrameRead::Corrupt(what) => return corrupt(what),
         }
     }
     Ok(())
 }
 
-/// Rebuilds what was saved, record by record.
+/// Rebuilds the stored state from the records of the log.
 struct Replay {
     restored: Restored,
-    /// The entry at the snapshot's index is not the one that the snapshot
-    /// covers: the entries after it were replaced by the snapshot.
-    conflicts: bool,
+    /// Whether the logged entry at the snapshot's index differs in term from the one in
+    /// the snapshot; the snapshot then replaces the entries that follow it.
+    has_conflict: bool,
 }
 
 impl Replay {
     fn new(restored: Restored) -> Replay {
         Replay {
             restored,
-            conflicts: false,
+            has_conflict: false,
         }
     }
 
-    fn take(&mut self, path: &Path, record: Record) -> Result<(), StorageError> {
+    fn apply_record(&mut self, path: &Path, record: Record) -> Result<(), StorageError> {
         if let Some(hard_state) = record.hard_state {
             self.restored.hard_state = hard_state;
         }
@@ -347,47 +348,47 @@
             let found = after;
             ensure!(after <= base, GapSnafu { path, found, last });
             self.restored.entries.clear();
-            self.conflicts = false;
+            self.has_conflict = false;
         }
         for entry in record.entries {
-            self.take_entry(path, entry)?;
+            self.apply_entry(path, entry)?;
         }
         Ok(())
     }
 
-    fn take_entry(&mut self, path: &Path, entry: Entry) -> Result<(), StorageError> {
+    fn apply_entry(&mut self, path: &Path, entry: Entry) -> Result<(), StorageError> {
         let base = self.restored.snapshot.index;
         let entries = &mut self.restored.entries;
         let found = entry.index;
         if found == base {
-            self.conflicts = entry.term != self.restored.snapshot.term;
+            self.has_conflict = entry.term != self.restored.snapshot.term;
         }
         if found <= base {
             entries.clear();
         }
-        if found <= base || self.conflicts {
+        if found <= base || self.has_conflict {
             return Ok(());
         }
-        let keep = (found - base - 1) as usize;
+        let kept_count = (found - base - 1) as usize;
         let last = base + entries.len() as LogIndex;
-        ensure!(keep <= entries.len(), GapSnafu { path, found, last });
-        entries.truncate(keep);
+        ensure!(kept_count <= entries.len(), GapSnafu { path, found, last });
+        entries.truncate(kept_count);
         entries.push(entry);
         Ok(())
     }
 }
 
-/// What stands at a position of a file.
+/// Result of reading a frame.
 enum FrameRead<'a> {
-    /// A frame that fits its checksums.
-    Whole { payload: &'a [u8], end: usize },
-    /// The end of the file comes before the end of the frame.
-    CutOff,
-    /// The frame does not fit its checksums, and more follows it.
-    Damaged(&'static str),
+    /// A complete frame with matching checksums.
+    Complete { payload: &'a [u8], end: usize },
+    /// The file ends before the frame does.
+    Truncated,
+    /// A checksum does not match, and the frame is not the last one of the file.
+    Corrupt(&'static str),
 }
 
-fn frame_of<T: Serialize>(record: &T) -> Result<Vec<u8>, StorageError> {
+fn encode_frame<T: Serialize>(record: &T) -> Result<Vec<u8>, StorageError> {
     let payload = postcard::to_stdvec(record).context(EncodeSnafu)?;
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -398,9 +399,9 @@
 }
 
 fn read_frame(bytes: &[u8], offset: usize) -> FrameRead<'_> {
-    let rest = &bytes[offset..];
-    let Some((header, rest)) = rest.split_at_checked(HEADER_BYTES) else {
-        return FrameRead::CutOff;
+    let tail = &bytes[offset..];
+    let Some((header, tail)) = tail.split_at_checked(HEADER_BYTES) else {
+        return FrameRead::Truncated;
     };
     let number = |position: usize| {
         let mut field = [0; 4];
@@ -409,22 +410,22 @@
     };
     let (length, payload_checksum, header_checksum) = (number(0), number(4), number(8));
     if crc32c::crc32c(&header[..8]) != header_checksum {
-        // A file system may have extended the file without writing the data.
+        // After a crash the file may have its new size but not its data: zeros.
         if bytes[offset..].iter().all(|byte| *byte == 0) {
-            return FrameRead::CutOff;
+            return FrameRead::Truncated;
         }
-        return FrameRead::Damaged("the header's checksum does not fit");
+        return FrameRead::Corrupt("header checksum mismatch");
     }
-    let Some((payload, after)) = rest.split_at_checked(length as usize) else {
-        return FrameRead::CutOff;
+    let Some((payload, after)) = tail.split_at_checked(length as usize) else {
+        return FrameRead::Truncated;
     };
     if crc32c::crc32c(payload) != payload_checksum {
         if after.is_empty() {
-            return FrameRead::CutOff;
+            return FrameRead::Truncated;
         }
-        return FrameRead::Damaged("the record's checksum does not fit");
+        return FrameRead::Corrupt("record checksum mismatch");
     }
-    FrameRead::Whole {
+    FrameRead::Complete {
         payload,
         end: offset + HEADER_BYTES + length as usize,
     }
--- a/crates/coursestand-consensus/tests/commit_rule.rs
+++ b/crates/coursestand-consensus/tests/commit_rule.rs
@@ -1,5 +1,5 @@
-//! The commit rule: entries of earlier terms are not committed by counting, only
-//! together with an entry of the leader's own term (figure 8 of the Raft paper).
+//! The commit rule: entries of earlier terms are not committed by counting replicas,
+//! only together with an entry of the leader's current term (figure 8 of the Raft paper).
 #![allow(missing_docs)]
 
 use coursestand_consensus::config::Mechanisms;
@@ -9,9 +9,9 @@
 };
 use googletest::prelude::*;
 
-const LATER: u64 = 10_000;
+const ELECTED_AT_MS: u64 = 10_000;
 
-/// Replica 1 of 3, elected in term 4 with an entry of term 2 at index 2.
+/// Returns replica 1 of 3, elected in term 4, with an entry of term 2 at index 2.
 fn leader_with_entry_of_earlier_term(mechanisms: Mechanisms) -> Replica {
     let voters = (1..=3).map(|replica| (replica, String::new()));
     let entry = |term, index| Entry {
@@ -35,13 +35,17 @@
         ..Config::new(1, 7)
     };
     let mut replica = Replica::new(config, restored, 0);
-    replica.tick(LATER);
+    replica.tick(ELECTED_AT_MS);
     let granted = Body::PreVoteAnswer { granted: true };
-    replica.step(LATER, 2, message(granted));
-    replica.step(LATER, 2, message(Body::VoteAnswer { granted: true }));
+    replica.step(ELECTED_AT_MS, 2, message(granted));
+    replica.step(
+        ELECTED_AT_MS,
+        2,
+        message(Body::VoteAnswer { granted: true }),
+    );
     assert!(replica.is_leader());
     let ready = replica.ready();
-    replica.persisted(LATER, &ready);
+    replica.persisted(ELECTED_AT_MS, &ready);
     replica
 }
 
@@ -53,25 +57,25 @@
     message(Body::AppendAnswer(AppendAnswer {
         index,
         matched: true,
-        sent_at: LATER,
+        sent_at: ELECTED_AT_MS,
     }))
 }
 
 #[gtest]
-fn entry_of_earlier_term_waits_for_one_of_the_own_term() {
+fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut replica = leader_with_entry_of_earlier_term(Mechanisms::default());
-    replica.step(LATER, 2, matched(2));
+    replica.step(ELECTED_AT_MS, 2, matched(2));
     expect_that!(replica.commit_index(), eq(0));
-    replica.step(LATER, 2, matched(3));
+    replica.step(ELECTED_AT_MS, 2, matched(3));
     expect_that!(replica.commit_index(), eq(3));
 }
 
 #[gtest]
-fn without_the_rule_the_entry_is_committed_too_early() {
+fn without_the_rule_an_entry_of_an_earlier_term_is_committed() {
     let mut replica = leader_with_entry_of_earlier_term(Mechanisms {
-        commit_own_term_only: false,
+        commit_current_term_only: false,
         ..Mechanisms::default()
     });
-    replica.step(LATER, 2, matched(2));
+    replica.step(ELECTED_AT_MS, 2, matched(2));
     expect_that!(replica.commit_index(), eq(2));
 }
--- a/crates/coursestand-consensus/tests/elections.rs
+++ b/crates/coursestand-consensus/tests/elections.rs
@@ -1,5 +1,5 @@
-//! How long a group is without a leader after all of it restarted, and after its
-//! leader went: on an emulated network, over many seeds.
+//! Time until a leader is elected after all replicas restart, on an emulated network,
+//! over many seeds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,13 @@
 };
 use googletest::prelude::*;
 
-/// One way between two replicas, in milliseconds.
+/// One-way latency between two replicas.
 const LATENCY_MS: u64 = 36;
-/// A sync of the disk.
+/// Duration of a disk sync.
 const SYNC_MS: u64 = 5;
-const STEP_MS: u64 = 5;
+const TICK_MS: u64 = 5;
 const SEEDS: u64 = 300;
-const GIVE_UP_MS: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 
 struct Envelope {
     due: u64,
@@ -27,20 +27,20 @@
     now: u64,
     replicas: BTreeMap<ReplicaId, Replica>,
     envelopes: Vec<Envelope>,
-    /// Directions in which nothing arrives.
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    /// Directed links on which all messages are lost.
+    blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
 }
 
 impl Network {
-    /// `alive` of `members` replicas start within a few steps of each other, with
+    /// Starts `running_count` of `members` replicas within a few ticks of each other, with
     /// the same log.
-    fn restarted(members: u64, alive: u64, seed: u64) -> Network {
+    fn restarted(members: u64, running_count: u64, seed: u64) -> Network {
         let voters = (1..=members).map(|id| (id, format!("replica-{id}")));
         let snapshot = Snapshot {
             membership: Membership::of_voters(voters.collect::<Vec<_>>()),
             ..Snapshot::default()
         };
-        let replicas = (1..=alive).map(|id| {
+        let replicas = (1..=running_count).map(|id| {
             let restored = Restored {
                 hard_state: HardState {
                     term: 1,
@@ -50,18 +50,18 @@
                 entries: Vec::<Entry>::new(),
             };
             let config = Config::new(id, seed * 1_000 + id);
-            (id, Replica::new(config, restored, id * STEP_MS))
+            (id, Replica::new(config, restored, id * TICK_MS))
         });
         Network {
             now: 0,
             replicas: replicas.collect(),
             envelopes: Vec::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP_MS;
+        self.now += TICK_MS;
         let (arrived, waiting) = std::mem::take(&mut self.envelopes)
             .into_iter()
             .partition(|envelope| envelope.due <= self.now);
@@ -75,10 +75,10 @@
             replica.tick(self.now);
             let ready = replica.ready();
             replica.persisted(self.now, &ready);
-            let at_once = ready.messages.iter().map(|sent| (0, sent));
+            let immediate = ready.messages.iter().map(|sent| (0, sent));
             let after_sync = ready.messages_after_sync.iter().map(|sent| (SYNC_MS, sent));
-            for (delay, (to, message)) in at_once.chain(after_sync) {
-                if !self.cuts.contains(&(*id, *to)) {
+            for (delay, (to, message)) in immediate.chain(after_sync) {
+                if !self.blocked_links.contains(&(*id, *to)) {
                     self.envelopes.push(Envelope {
                         due: self.now + delay + LATENCY_MS,
                         from: *id,
@@ -97,17 +97,17 @@
             .map(|(id, _)| *id)
     }
 
-    /// Time until there is a leader.
+    /// Returns the time in ms until there is a leader.
     fn time_to_leader(&mut self) -> u64 {
         let started = self.now;
-        while self.leader().is_none() && self.now < started + GIVE_UP_MS {
+        while self.leader().is_none() && self.now < started + MAX_WAIT_MS {
             self.step();
         }
         self.now - started
     }
 }
 
-/// Times over all seeds, in order.
+/// Returns the sorted times of all seeds.
 fn times(mut measure: impl FnMut(u64) -> u64) -> Vec<u64> {
     let mut times: Vec<u64> = (0..SEEDS).map(&mut measure).collect();
     times.sort_unstable();
@@ -122,10 +122,10 @@
     Config::new(1, 0).election_timeout
 }
 
-/// With just a majority left, every vote is needed: any two candidates at once
-/// would split them.
+/// With a bare majority every vote is needed: two candidates at once would split the
+/// votes.
 #[gtest]
-fn a_bare_majority_that_restarts_together_elects_in_its_first_try() {
+fn a_bare_majority_that_restarts_together_elects_without_a_split_vote() {
     let times = times(|seed| Network::restarted(5, 3, seed).time_to_leader());
     expect_that!(percentile(&times, 50), le(election_timeout() * 3 / 2));
     expect_that!(percentile(&times, 95), le(election_timeout() * 9 / 4));
@@ -133,15 +133,15 @@
 }
 
 #[gtest]
-fn a_whole_group_that_restarts_together_elects_in_its_first_try() {
+fn a_whole_group_that_restarts_together_elects_without_a_split_vote() {
     let times = times(|seed| Network::restarted(5, 5, seed).time_to_leader());
     expect_that!(percentile(&times, 95), le(election_timeout() * 7 / 4));
     expect_that!(times.last(), some(le(&(election_timeout() * 3))));
 }
 
-/// After a restart of all there is no leader whose silence must be waited for.
+/// After a restart of all replicas no leader is left whose election timeout must expire.
 #[gtest]
-fn a_group_that_restarts_together_need_not_wait_for_an_election_timeout() {
+fn a_group_that_restarts_together_does_not_wait_for_an_election_timeout() {
     for running in [3, 5] {
         let times = times(|seed| Network::restarted(5, running, seed).time_to_leader());
         expect_that!(percentile(&times, 50), le(election_timeout()));
@@ -149,15 +149,15 @@
     }
 }
 
-/// A replica whose requests arrive but which hears no answer must not hold the
-/// others back, whatever its place in the order of rivals.
+/// A replica whose requests arrive but which receives no answers must not block the
+/// others, whatever its precedence among the candidates.
 #[gtest]
-fn a_candidate_that_hears_nothing_does_not_hold_the_others_back() {
-    for deaf in [1, 2, 3, 4] {
+fn a_candidate_that_receives_no_answers_does_not_block_the_others() {
+    for unreachable in [1, 2, 3, 4] {
         let times = times(|seed| {
             let mut network = Network::restarted(5, 4, seed);
             for other in 1..=4 {
-                network.cuts.insert((other, deaf));
+                network.blocked_links.insert((other, unreachable));
             }
             network.time_to_leader()
         });
--- a/crates/coursestand-consensus/tests/resending.rs
+++ b/crates/coursestand-consensus/tests/resending.rs
@@ -1,7 +1,7 @@
-//! After all machines had lost power, a leader sent 12 MB a second to its followers for
-//! eight seconds, and held 96 MB of messages that waited to be sent, of 256 it may use.
-//! Its followers lacked 1.2 MB of entries, and with each heartbeat, and each refusal that
-//! was still on its way, it sent them all again before the first copy had arrived.
+//! Guards against a leader that resends entries which are still in flight. If it sends
+//! them again with each heartbeat and each delayed rejection, 1.2 MB of missing entries
+//! cause 12 MB/s for eight seconds and 96 MB of queued messages, of 256 MB that the
+//! process may use. This occurs after a power loss of all machines.
 #![allow(missing_docs)]
 
 use coursestand_consensus::message::{AppendAnswer, Body};
@@ -14,11 +14,11 @@
 const TERM: u64 = 4;
 const ENTRY_BYTES: usize = 400_000;
 const ENTRIES: u64 = 3;
-const ELECTED: u64 = 10_000;
-/// Time between two looks at the clock.
-const TICK: u64 = 10;
+const ELECTED_AT_MS: u64 = 10_000;
+/// Interval between two ticks of the replica.
+const TICK_MS: u64 = 10;
 
-/// Replica 1 of 3, elected, with entries that the others may lack.
+/// Returns replica 1 of 3, elected, with entries that the others may lack.
 fn leader() -> Replica {
     let voters = (1..=3).map(|replica| (replica, String::new()));
     let entry = |index| Entry {
@@ -38,13 +38,17 @@
         entries: (1..=ENTRIES).map(entry).collect(),
     };
     let mut replica = Replica::new(Config::new(1, 7), restored, 0);
-    replica.tick(ELECTED);
+    replica.tick(ELECTED_AT_MS);
     let granted = Body::PreVoteAnswer { granted: true };
-    replica.step(ELECTED, 3, message(granted));
-    replica.step(ELECTED, 3, message(Body::VoteAnswer { granted: true }));
+    replica.step(ELECTED_AT_MS, 3, message(granted));
+    replica.step(
+        ELECTED_AT_MS,
+        3,
+        message(Body::VoteAnswer { granted: true }),
+    );
     assert!(replica.is_leader());
     let ready = replica.ready();
-    replica.persisted(ELECTED, &ready);
+    replica.persisted(ELECTED_AT_MS, &ready);
     replica
 }
 
@@ -60,7 +64,7 @@
     }))
 }
 
-fn taken(index: u64, sent_at: u64) -> Message {
+fn accepted(index: u64, sent_at: u64) -> Message {
     message(Body::AppendAnswer(AppendAnswer {
         index,
         matched: true,
@@ -68,7 +72,7 @@
     }))
 }
 
-/// Bytes of entries among the messages to the follower that wait to be sent.
+/// Returns the bytes of entries in the outgoing messages to the follower.
 fn bytes_to_follower(replica: &mut Replica) -> usize {
     let ready = replica.ready();
     let all = ready.messages.iter().chain(&ready.messages_after_sync);
@@ -85,63 +89,64 @@
         .sum()
 }
 
-/// Lets a time pass, and returns what was sent to the follower.
+/// Advances the clock and returns the bytes of entries sent to the follower.
 fn pass(replica: &mut Replica, from: u64, to: u64) -> usize {
     (from..to)
-        .step_by(TICK as usize)
+        .step_by(TICK_MS as usize)
         .map(|now| {
             replica.tick(now);
-            // Another voter keeps it leading.
-            replica.step(now, 3, taken(ENTRIES + 1, now));
+            // Answers of another voter satisfy check-quorum.
+            replica.step(now, 3, accepted(ENTRIES + 1, now));
             bytes_to_follower(replica)
         })
         .sum()
 }
 
 #[gtest]
-fn entries_on_their_way_are_not_sent_again_with_each_heartbeat() {
+fn entries_in_flight_are_not_sent_again_with_each_heartbeat() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED + 20, FOLLOWER, refusal(ELECTED));
-    let sent = bytes_to_follower(&mut replica) + pass(&mut replica, ELECTED + 30, ELECTED + 3_000);
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
+    let sent = bytes_to_follower(&mut replica)
+        + pass(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 3_000);
     let all = ENTRY_BYTES * ENTRIES as usize;
     expect_that!(sent, ge(all));
     expect_that!(sent, le(6 * all));
 }
 
 #[gtest]
-fn refusals_that_were_on_their_way_send_nothing_again() {
+fn delayed_rejections_do_not_cause_a_resend() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    pass(&mut replica, ELECTED + 10, ELECTED + 400);
-    // Answers to four heartbeats, all sent before the entries were.
-    let heartbeats = [0, 100, 200, 300].map(|after| ELECTED + after);
+    pass(&mut replica, ELECTED_AT_MS + 10, ELECTED_AT_MS + 400);
+    // Answers to four heartbeats that were all sent before the entries.
+    let heartbeats = [0, 100, 200, 300].map(|after| ELECTED_AT_MS + after);
     for sent_at in heartbeats {
-        replica.step(ELECTED + 410, FOLLOWER, refusal(sent_at));
+        replica.step(ELECTED_AT_MS + 410, FOLLOWER, refusal(sent_at));
     }
     let sent = bytes_to_follower(&mut replica);
     expect_that!(sent, eq(ENTRY_BYTES * ENTRIES as usize));
 }
 
-/// Refusing what was sent after them, the follower shows that they were lost.
+/// A rejection of a message that was sent after the entries proves that they were lost.
 #[gtest]
-fn entries_that_were_lost_are_sent_again_at_once() {
+fn lost_entries_are_sent_again_at_once() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED + 20, FOLLOWER, refusal(ELECTED));
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
     let all = ENTRY_BYTES * ENTRIES as usize;
     expect_that!(bytes_to_follower(&mut replica), eq(all));
-    replica.step(ELECTED + 150, FOLLOWER, refusal(ELECTED + 120));
+    replica.step(ELECTED_AT_MS + 150, FOLLOWER, refusal(ELECTED_AT_MS + 120));
     expect_that!(bytes_to_follower(&mut replica), eq(all));
 }
 
-/// A follower that lost its connection takes the rest in once it is back.
+/// A follower whose connection was lost receives the missing entries after `resend_after`.
 #[gtest]
-fn entries_are_sent_again_after_a_while_without_an_answer() {
+fn entries_are_sent_again_after_a_time_without_an_answer() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED + 20, FOLLOWER, refusal(ELECTED));
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
     bytes_to_follower(&mut replica);
-    let sent = pass(&mut replica, ELECTED + 30, ELECTED + 1_000);
+    let sent = pass(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 1_000);
     expect_that!(sent, ge(ENTRY_BYTES * ENTRIES as usize));
 }
--- a/crates/coursestand-consensus/tests/simulation/group.rs
+++ b/crates/coursestand-consensus/tests/simulation/group.rs
@@ -1,4 +1,4 @@
-//! A group of replicas on an emulated network, with the naive copy beside it.
+//! A group of replicas on an emulated network, with the reference model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,13 +13,13 @@
 use rand::{RngExt, SeedableRng};
 
 const STEP_MS: u64 = 10;
-const FIRST_REPLICAS: u64 = 3;
-/// Time after the last fault in which the group has to work again.
+const INITIAL_REPLICAS: u64 = 3;
+/// Time after the last fault within which the group must recover.
 const RECOVERY_MS: u64 = 20_000;
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Pass {
+    Wait {
         steps: u8,
     },
     Propose {
@@ -40,10 +40,10 @@
     Restart {
         node: u8,
     },
-    Freeze {
+    Pause {
         node: u8,
     },
-    Thaw {
+    Resume {
         node: u8,
     },
     Compact {
@@ -55,18 +55,18 @@
     Transfer {
         node: u8,
     },
-    /// From now on each sync takes so many steps.
+    /// Makes each further sync take this many steps.
     SlowDisk {
         node: u8,
         steps: u8,
     },
 }
 
-/// One fault, or some time without one.
+/// Generates a fault, a proposal or a wait.
 pub fn fault() -> impl Strategy<Value = Fault> {
     let node = 0..6_u8;
     prop_oneof![
-        8 => (1..80_u8).prop_map(|steps| Fault::Pass { steps }),
+        8 => (1..80_u8).prop_map(|steps| Fault::Wait { steps }),
         6 => node.clone().prop_map(|node| Fault::Propose { node }),
         1 => (node.clone(), node.clone()).prop_map(|(from, to)| Fault::Cut { from, to }),
         1 => node.clone().prop_map(|node| Fault::Isolate { node }),
@@ -74,8 +74,8 @@
         2 => (node.clone(), any::<bool>())
             .prop_map(|(node, before_sync)| Fault::Crash { node, before_sync }),
         3 => node.clone().prop_map(|node| Fault::Restart { node }),
-        1 => node.clone().prop_map(|node| Fault::Freeze { node }),
-        2 => node.clone().prop_map(|node| Fault::Thaw { node }),
+        1 => node.clone().prop_map(|node| Fault::Pause { node }),
+        2 => node.clone().prop_map(|node| Fault::Resume { node }),
         1 => node.clone().prop_map(|node| Fault::Compact { node }),
         1 => node.clone().prop_map(|node| Fault::LoseDisk { node }),
         1 => node.clone().prop_map(|node| Fault::Transfer { node }),
@@ -88,11 +88,11 @@
     replica: Option<Replica>,
     storage: MemoryStorage,
     applied: Vec<Entry>,
-    frozen: bool,
+    is_frozen: bool,
     crash_before_sync: bool,
-    /// Time that a sync takes.
+    /// Duration of a sync.
     sync_ms: u64,
-    /// What is being synced, and when that is done.
+    /// The `Ready` that is being synced, and when the sync ends.
     syncing: Option<(u64, Ready)>,
     clock_offset: u64,
     clock_per_mille: u64,
@@ -109,15 +109,15 @@
     mechanisms: Mechanisms,
     nodes: BTreeMap<ReplicaId, Node>,
     network: Vec<Envelope>,
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     now: u64,
     random: StdRng,
-    faults: bool,
+    has_faults: bool,
     next_identity: ReplicaId,
-    /// A replica whose disk was lost, and the one that takes its place.
+    /// A replica that lost its disk, and its replacement.
     replacing: Option<(ReplicaId, ReplicaId)>,
     leaders: BTreeMap<u64, ReplicaId>,
-    /// The naive copy: every entry that some replica applied, in order.
+    /// The reference model: every entry that some replica applied, in order.
     committed: Vec<Entry>,
     acknowledged: BTreeSet<u64>,
     next_command: u64,
@@ -135,23 +135,23 @@
             mechanisms,
             nodes: BTreeMap::new(),
             network: Vec::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             now: 0,
             random: StdRng::seed_from_u64(seed),
-            faults: true,
-            next_identity: FIRST_REPLICAS + 1,
+            has_faults: true,
+            next_identity: INITIAL_REPLICAS + 1,
             replacing: None,
             leaders: BTreeMap::new(),
             committed: Vec::new(),
             acknowledged: BTreeSet::new(),
             next_command: 0,
         };
-        let voters = (1..=FIRST_REPLICAS).map(|replica| (replica, String::new()));
+        let voters = (1..=INITIAL_REPLICAS).map(|replica| (replica, String::new()));
         let first = Snapshot {
             membership: Membership::of_voters(voters),
             ..Snapshot::default()
         };
-        for replica in 1..=FIRST_REPLICAS {
+        for replica in 1..=INITIAL_REPLICAS {
             let mut storage = MemoryStorage::default();
             storage
                 .compact(&first, HardState::default(), &[])
@@ -167,7 +167,7 @@
             replica: None,
             storage,
             applied: Vec::new(),
-            frozen: false,
+            is_frozen: false,
             crash_before_sync: false,
             sync_ms: 0,
             syncing: None,
@@ -193,7 +193,7 @@
         config.mechanisms = self.mechanisms;
         config.max_batch = 4;
         config.snapshot_chunk = 3;
-        node.frozen = false;
+        node.is_frozen = false;
         node.crash_before_sync = false;
         node.syncing = None;
         node.replica = Some(Replica::new(config, restored, node.clock(now)));
@@ -206,7 +206,7 @@
 
     pub fn apply(&mut self, fault: &Fault) -> Result<(), TestCaseError> {
         match fault {
-            Fault::Pass { steps } => {
+            Fault::Wait { steps } => {
                 for _ in 0..*steps {
                     self.step()?;
                 }
@@ -214,15 +214,15 @@
             Fault::Propose { node } => self.propose(self.id_of(*node)),
             Fault::Cut { from, to } => {
                 let cut = (self.id_of(*from), self.id_of(*to));
-                self.cuts.insert(cut);
+                self.blocked_links.insert(cut);
             }
             Fault::Isolate { node } => {
                 let id = self.id_of(*node);
                 for other in self.nodes.keys().copied().filter(|other| *other != id) {
-                    self.cuts.extend([(id, other), (other, id)]);
+                    self.blocked_links.extend([(id, other), (other, id)]);
                 }
             }
-            Fault::Heal => self.cuts.clear(),
+            Fault::Heal => self.blocked_links.clear(),
             Fault::Crash { node, before_sync } => {
                 let id = self.id_of(*node);
                 if let Some(node) = self.nodes.get_mut(&id) {
@@ -235,8 +235,8 @@
                 }
             }
             Fault::Restart { node } => self.start(self.id_of(*node)),
-            Fault::Freeze { node } => self.set_frozen(*node, true),
-            Fault::Thaw { node } => self.set_frozen(*node, false),
+            Fault::Pause { node } => self.set_frozen(*node, true),
+            Fault::Resume { node } => self.set_frozen(*node, false),
             Fault::Compact { node } => self.compact(self.id_of(*node)),
             Fault::LoseDisk { node } => self.lose_disk(self.id_of(*node)),
             Fault::Transfer { node } => self.transfer(self.id_of(*node)),
@@ -250,10 +250,10 @@
         self.check()
     }
 
-    fn set_frozen(&mut self, node: u8, frozen: bool) {
+    fn set_frozen(&mut self, node: u8, is_frozen: bool) {
         let id = self.id_of(node);
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.frozen = frozen;
+            node.is_frozen = is_frozen;
         }
     }
 
@@ -264,7 +264,7 @@
             return;
         };
         let clock = node.clock(now);
-        if let Some(replica) = node.replica.as_mut().filter(|_| !node.frozen) {
+        if let Some(replica) = node.replica.as_mut().filter(|_| !node.is_frozen) {
             let payload = Payload::Command(command.to_le_bytes().to_vec());
             if replica.propose(clock, payload).is_ok() {
                 self.next_command += 1;
@@ -274,11 +274,11 @@
 
     fn transfer(&mut self, to: ReplicaId) {
         let now = self.now;
-        for node in self.nodes.values_mut().filter(|node| !node.frozen) {
+        for node in self.nodes.values_mut().filter(|node| !node.is_frozen) {
             let clock = node.clock(now);
             if let Some(replica) = &mut node.replica {
-                // Only a leader takes it.
-                let _ = replica.transfer_to(clock, to);
+                // Replicas that don't lead return an error.
+                let _ = replica.transfer_leadership_to(clock, to);
             }
         }
     }
@@ -290,21 +290,21 @@
         if node.syncing.is_some() {
             return;
         }
-        let Some(replica) = node.replica.as_mut().filter(|_| !node.frozen) else {
+        let Some(replica) = node.replica.as_mut().filter(|_| !node.is_frozen) else {
             return;
         };
         let Some(last) = node.applied.last() else {
             return;
         };
         let data = last.index.to_le_bytes().to_vec();
-        if let Some((snapshot, hard_state, rest)) = replica.compact(last.index, data) {
+        if let Some((snapshot, hard_state, tail)) = replica.compact(last.index, data) {
             node.storage
-                .compact(&snapshot, hard_state, &rest)
+                .compact(&snapshot, hard_state, &tail)
                 .expect("memory");
         }
     }
 
-    /// One disk at a time: the next may go as soon as the replacement is done.
+    /// Loses one disk at a time: the next one only after the replacement is done.
     fn lose_disk(&mut self, id: ReplicaId) {
         if self.replacing.is_some() {
             return;
@@ -317,13 +317,13 @@
         self.replacing = Some((id, replacement));
     }
 
-    /// What `control replace` does, step by step, at the current leader.
+    /// Performs the next step of `control replace` at the current leader.
     fn continue_replacement(&mut self) {
         let Some((lost, replacement)) = self.replacing else {
             return;
         };
         let now = self.now;
-        for node in self.nodes.values_mut().filter(|node| !node.frozen) {
+        for node in self.nodes.values_mut().filter(|node| !node.is_frozen) {
             let clock = node.clock(now);
             let Some(replica) = node.replica.as_mut().filter(|replica| replica.is_leader()) else {
                 continue;
@@ -378,13 +378,13 @@
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in ids {
             let now = self.now;
-            if let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.frozen) {
+            if let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_frozen) {
                 let clock = node.clock(now);
                 if let Some(replica) = &mut node.replica {
                     replica.tick(clock);
                 }
             }
-            self.pump(id)?;
+            self.process_ready(id)?;
         }
         self.check()
     }
@@ -394,8 +394,8 @@
         let Some(node) = self.nodes.get_mut(&envelope.to) else {
             return;
         };
-        if node.frozen {
-            // Waits in the socket of the frozen process.
+        if node.is_frozen {
+            // Stays in the socket buffer of the paused process.
             self.network.push(envelope);
             return;
         }
@@ -405,11 +405,11 @@
         }
     }
 
-    /// Does what the replica asks for; a crash may come before the sync.
-    fn pump(&mut self, id: ReplicaId) -> Result<(), TestCaseError> {
+    /// Processes the replica's `Ready` values; a crash may occur before the sync.
+    fn process_ready(&mut self, id: ReplicaId) -> Result<(), TestCaseError> {
         loop {
             let now = self.now;
-            let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.frozen) else {
+            let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_frozen) else {
                 return Ok(());
             };
             let Some(replica) = &mut node.replica else {
@@ -431,12 +431,12 @@
                 self.send(id, ready.messages);
                 return Ok(());
             }
-            let idle = !ready.needs_sync() && ready.committed.is_empty();
+            let is_idle = !ready.needs_sync() && ready.committed.is_empty();
             let committed = std::mem::take(&mut ready.committed);
             node.applied.extend(committed.iter().cloned());
             let messages = std::mem::take(&mut ready.messages);
-            let takes_time = ready.needs_sync() && node.sync_ms > 0;
-            if takes_time {
+            let is_sync_delayed = ready.needs_sync() && node.sync_ms > 0;
+            if is_sync_delayed {
                 node.syncing = Some((now + node.sync_ms, ready));
                 self.send(id, messages);
             } else {
@@ -444,15 +444,15 @@
                 self.finish_sync(id, ready);
             }
             for entry in committed {
-                self.note_committed(id, entry)?;
+                self.record_committed(id, entry)?;
             }
-            if idle || takes_time {
+            if is_idle || is_sync_delayed {
                 return Ok(());
             }
         }
     }
 
-    /// All that the replica wanted saved is on its disk.
+    /// Completes a sync: saves the `Ready` and sends the messages that waited for it.
     fn finish_sync(&mut self, id: ReplicaId, ready: Ready) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -477,12 +477,16 @@
 
     fn send(&mut self, from: ReplicaId, messages: Vec<(ReplicaId, Message)>) {
         for (to, message) in messages {
-            if self.cuts.contains(&(from, to)) {
+            if self.blocked_links.contains(&(from, to)) {
                 continue;
             }
-            let lost = self.faults && self.random.random_bool(0.05);
-            let twice = self.faults && self.random.random_bool(0.05);
-            let copies = if lost { 0 } else { 1 + usize::from(twice) };
+            let is_lost = self.has_faults && self.random.random_bool(0.05);
+            let is_duplicated = self.has_faults && self.random.random_bool(0.05);
+            let copies = if is_lost {
+                0
+            } else {
+                1 + usize::from(is_duplicated)
+            };
             for _ in 0..copies {
                 let delay = if self.random.random_bool(0.05) {
                     400
@@ -500,14 +504,14 @@
         }
     }
 
-    /// The applied log of every replica is a start of the one naive copy.
-    fn note_committed(&mut self, id: ReplicaId, entry: Entry) -> Result<(), TestCaseError> {
+    /// Checks that the applied log of every replica is a prefix of the reference model.
+    fn record_committed(&mut self, id: ReplicaId, entry: Entry) -> Result<(), TestCaseError> {
         let position = entry.index as usize - 1;
-        if let Some(known) = self.committed.get(position) {
-            prop_assert_eq!(known, &entry, "replica {} applied another log", id);
+        if let Some(existing) = self.committed.get(position) {
+            prop_assert_eq!(existing, &entry, "replica {} applied another log", id);
             return Ok(());
         }
-        prop_assert_eq!(position, self.committed.len(), "an entry was passed over");
+        prop_assert_eq!(position, self.committed.len(), "an entry was skipped");
         if let Payload::Command(command) = &entry.payload {
             let mut bytes = [0; 8];
             bytes.copy_from_slice(command);
@@ -538,14 +542,14 @@
         Ok(())
     }
 
-    /// Ends all faults; the group has to accept commands again and agree.
+    /// Ends all faults; the group must accept commands again and converge.
     pub fn recover(&mut self) -> Result<(), TestCaseError> {
-        self.faults = false;
-        self.cuts.clear();
+        self.has_faults = false;
+        self.blocked_links.clear();
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in &ids {
             if let Some(node) = self.nodes.get_mut(id) {
-                node.frozen = false;
+                node.is_frozen = false;
                 node.crash_before_sync = false;
                 node.sync_ms = 0;
             }
@@ -558,11 +562,11 @@
                 self.propose(*id);
             }
             self.step()?;
-            let agreed = self.nodes.values().all(|node| {
+            let have_converged = self.nodes.values().all(|node| {
                 node.applied.len() + 4 >= self.committed.len() && node.replica.is_some()
             });
-            let replaced = self.replacing.is_none();
-            if self.acknowledged.len() > before + 5 && agreed && replaced {
+            let is_replaced = self.replacing.is_none();
+            if self.acknowledged.len() > before + 5 && have_converged && is_replaced {
                 return Ok(());
             }
         }
--- a/crates/coursestand-consensus/tests/simulation/main.rs
+++ b/crates/coursestand-consensus/tests/simulation/main.rs
@@ -1,12 +1,12 @@
-//! The group under seeded faults, against one naive copy: a plain list of the
-//! commands that were acknowledged.
+//! A group under seeded faults, checked against a reference model: a plain list of
+//! the committed entries.
 //!
-//! Faults: messages lost, late, twice and out of order; cuts, also in one
-//! direction; frozen replicas; crashes before and after a sync; lost disks with
-//! replacement under a new identity; syncs that take up to 2 s while messages go on;
-//! clocks that differ. After every step:
-//! one leader a term, equal committed logs, nothing acknowledged lost, and a
-//! replica that holds the lease knows everything that is committed.
+//! Faults: lost, delayed, duplicated and reordered messages; partitions, also in one
+//! direction; paused replicas; crashes before and after a sync; lost disks with
+//! replacement under a new identity; syncs of up to 2 s during which messages are
+//! processed; clocks that differ in offset and rate. Invariants, checked after every
+//! step: one leader per term, equal committed logs, no loss of acknowledged commands,
+//! and a replica that holds the lease has all committed entries.
 #![allow(missing_docs)]
 
 mod group;
@@ -45,27 +45,27 @@
 fn runs() -> impl Strategy<Value = (u64, Vec<Fault>)> {
     let faults = prop_oneof![
         4 => prop::collection::vec(fault(), 5..60),
-        1 => one_way_loss(),
+        1 => one_way_partition(),
     ];
     (any::<u64>(), faults)
 }
 
-/// One replica no longer hears another, campaigns, and then that other one is
-/// cut off: the moment in which an old and a new leader could both serve.
-fn one_way_loss() -> impl Strategy<Value = Vec<Fault>> {
+/// One replica stops receiving another's messages and campaigns; then the other one is
+/// isolated. An old and a new leader could both serve at that moment.
+fn one_way_partition() -> impl Strategy<Value = Vec<Fault>> {
     (0..3_u8, 0..3_u8, 50..150_u8).prop_map(|(from, to, steps)| {
         vec![
-            Fault::Pass { steps: 250 },
+            Fault::Wait { steps: 250 },
             Fault::Cut { from, to },
-            Fault::Pass { steps },
+            Fault::Wait { steps },
             Fault::Isolate { node: from },
-            Fault::Pass { steps: 60 },
+            Fault::Wait { steps: 60 },
         ]
     })
 }
 
 #[test]
-fn group_equals_the_naive_copy_under_faults() {
+fn group_matches_the_reference_model_under_faults() {
     let cases = std::env::var("COURSESTAND_RUNS")
         .ok()
         .and_then(|runs| runs.parse().ok())
@@ -78,8 +78,8 @@
     }
 }
 
-/// The checks find a fault, told by one of `signs`, once the mechanism is off.
-fn fails_without(mechanisms: Mechanisms, signs: &[&str]) {
+/// Asserts that without the mechanism a check fails with one of `expected_errors`.
+fn expect_failure_without(mechanisms: Mechanisms, expected_errors: &[&str]) {
     let mut runner = runner(4 * SEEDED_RUNS);
     let result = runner.run(&runs(), |(seed, faults)| run(seed, &faults, mechanisms));
     let Err(error) = result else {
@@ -87,7 +87,9 @@
     };
     let text = error.to_string();
     assert!(
-        signs.iter().any(|sign| text.contains(sign)),
+        expected_errors
+            .iter()
+            .any(|expected| text.contains(expected)),
         "another failure: {text}"
     );
 }
@@ -95,18 +97,18 @@
 const OTHER_LOG: &str = "applied another log";
 const TWO_LEADERS: &str = "two leaders in term";
 const STALE_LEASE: &str = "misses committed entries";
-/// A leader waits for ever on an entry that a replica had and lost.
+/// A leader waits forever for an entry that a replica acknowledged and lost.
 const NOT_RECOVERED: &str = "the group did not recover";
-/// The core's own assertion, which stops it before a check sees the damage.
-const TRUNCATED: &str = "committed entries stay";
+/// The replica's own assertion, which fails before a check of the simulation does.
+const TRUNCATED: &str = "committed entries must not be truncated";
 
 #[test]
-fn checks_fail_without_loyalty_to_the_leader() {
+fn checks_fail_without_the_leader_lease() {
     let mechanisms = Mechanisms {
-        loyal_to_leader: false,
+        respect_leader_lease: false,
         ..Mechanisms::default()
     };
-    fails_without(mechanisms, &[STALE_LEASE]);
+    expect_failure_without(mechanisms, &[STALE_LEASE]);
 }
 
 #[test]
@@ -115,25 +117,25 @@
         compare_logs: false,
         ..Mechanisms::default()
     };
-    fails_without(mechanisms, &[OTHER_LOG, STALE_LEASE, TRUNCATED]);
+    expect_failure_without(mechanisms, &[OTHER_LOG, STALE_LEASE, TRUNCATED]);
 }
 
 #[test]
-fn checks_fail_without_one_vote_a_term() {
+fn checks_fail_without_one_vote_per_term() {
     let mechanisms = Mechanisms {
-        one_vote_a_term: false,
+        one_vote_per_term: false,
         ..Mechanisms::default()
     };
-    fails_without(mechanisms, &[TWO_LEADERS]);
+    expect_failure_without(mechanisms, &[TWO_LEADERS]);
 }
 
 #[test]
-fn checks_fail_without_answering_for_what_is_synced_only() {
+fn checks_fail_if_unsynced_entries_are_acknowledged() {
     let mechanisms = Mechanisms {
-        answer_for_synced_only: false,
+        acknowledge_synced_only: false,
         ..Mechanisms::default()
     };
-    fails_without(
+    expect_failure_without(
         mechanisms,
         &[OTHER_LOG, STALE_LEASE, TRUNCATED, NOT_RECOVERED],
     );
--- a/crates/coursestand-consensus/tests/stale_leader.rs
+++ b/crates/coursestand-consensus/tests/stale_leader.rs
@@ -1,4 +1,4 @@
-//! A replica that is ahead of its leader's term makes that leader notice.
+//! A replica in a newer term than its leader informs that leader of the term.
 #![allow(missing_docs)]
 
 use coursestand_consensus::message::{Body, LogPosition, SnapshotChunk};
@@ -9,7 +9,7 @@
 
 const LEADER: u64 = 2;
 
-/// A replica of three that took part in an election which nobody won.
+/// Returns replica 1 of 3 in a term whose election had no winner.
 fn replica_in_term(term: u64) -> Replica {
     let voters = (1..=3_u64).map(|id| (id, format!("replica-{id}")));
     let restored = Restored {
@@ -26,9 +26,10 @@
     Replica::new(Config::new(1, 1), restored, 0)
 }
 
-/// The leader has shortened its log, so it sends nothing but a snapshot.
+/// The leader has compacted its log, so it sends only snapshot chunks. Without an answer
+/// to these it would never learn of the newer term.
 #[gtest]
-fn a_leader_of_an_old_term_that_sends_a_snapshot_hears_of_the_new_term() {
+fn a_stale_leader_that_sends_a_snapshot_learns_of_the_new_term() {
     let mut replica = replica_in_term(4);
     let chunk = SnapshotChunk {
         last: LogPosition {
@@ -47,9 +48,9 @@
     };
     replica.step(10, LEADER, message);
     let ready = replica.ready();
-    let told = ready
+    let has_newer_term = ready
         .messages_after_sync
         .iter()
         .any(|(to, message)| *to == LEADER && message.term == 4);
-    expect_that!(told, eq(true));
+    expect_that!(has_newer_term, eq(true));
 }
--- a/crates/coursestand-consensus/tests/wal.rs
+++ b/crates/coursestand-consensus/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log against storage in memory, and against damage.
+//! The write-ahead log compared with in-memory storage, and its handling of corruption.
 #![allow(missing_docs)]
 
 use std::fs::OpenOptions;
@@ -84,35 +84,35 @@
     })]
 
     #[test]
-    fn log_on_disk_restores_what_memory_holds(steps in prop::collection::vec(step(), 1..30)) {
+    fn the_log_restores_the_same_state_as_memory_storage(steps in prop::collection::vec(step(), 1..30)) {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut naive = MemoryStorage::default();
+        let mut reference = MemoryStorage::default();
         let (mut log, _) = WriteAheadLog::open(folder.path()).expect("the log opens");
         for (number, step) in steps.into_iter().enumerate() {
             let term = number as u64 + 1;
-            let held = naive.restored();
-            let base = held.snapshot.index;
-            let last = base + held.entries.len() as u64;
+            let stored = reference.restored();
+            let base = stored.snapshot.index;
+            let last = base + stored.entries.len() as u64;
             match step {
                 Step::Append { count } => {
                     let batch = entries(term, last + 1, last + count);
-                    naive.save(&batch).expect("memory");
+                    reference.save(&batch).expect("memory");
                     log.save(&batch).expect("disk");
                 }
                 Step::Overwrite { back } => {
                     let first = last.saturating_sub(back).max(base + 1);
                     let batch = entries(term, first, first + 1);
-                    naive.save(&batch).expect("memory");
+                    reference.save(&batch).expect("memory");
                     log.save(&batch).expect("disk");
                 }
                 Step::Compact { back } => {
                     let index = last.saturating_sub(back).max(base);
                     if index > base {
-                        let rest = held.entries[(index - base) as usize..].to_vec();
-                        let covered = &held.entries[(index - base - 1) as usize];
+                        let tail = stored.entries[(index - base) as usize..].to_vec();
+                        let covered = &stored.entries[(index - base - 1) as usize];
                         let snapshot = snapshot(index, covered.term);
-                        naive.compact(&snapshot, held.hard_state, &rest).expect("memory");
-                        log.compact(&snapshot, held.hard_state, &rest).expect("disk");
+                        reference.compact(&snapshot, stored.hard_state, &tail).expect("memory");
+                        log.compact(&snapshot, stored.hard_state, &tail).expect("disk");
                     }
                 }
                 Step::Install { ahead } => {
@@ -120,32 +120,32 @@
                         snapshot: Some(snapshot(last + ahead, term)),
                         ..Batch::default()
                     };
-                    naive.save(&batch).expect("memory");
+                    reference.save(&batch).expect("memory");
                     log.save(&batch).expect("disk");
                 }
                 Step::Reopen => {
                     drop(log);
-                    let (again, restored) = WriteAheadLog::open(folder.path()).expect("reopens");
-                    prop_assert_eq!(&restored, &naive.restored());
-                    log = again;
+                    let (reopened, restored) = WriteAheadLog::open(folder.path()).expect("reopens");
+                    prop_assert_eq!(&restored, &reference.restored());
+                    log = reopened;
                 }
             }
         }
         drop(log);
-        prop_assert_eq!(reopen(folder.path()), naive.restored());
+        prop_assert_eq!(reopen(folder.path()), reference.restored());
     }
 
     #[test]
-    fn a_frame_cut_off_at_the_end_is_dropped_whole(cut in 1..200_u64) {
+    fn a_truncated_last_frame_is_discarded(cut in 1..200_u64) {
         let folder = tempfile::tempdir().expect("a folder");
         let (mut log, _) = WriteAheadLog::open(folder.path()).expect("the log opens");
         log.save(&entries(1, 1, 3)).expect("saved");
         let segment = newest_segment(folder.path());
-        let whole = std::fs::metadata(&segment).expect("metadata").len();
+        let length_before = std::fs::metadata(&segment).expect("metadata").len();
         log.save(&entries(1, 4, 9)).expect("saved");
         drop(log);
-        let longer = std::fs::metadata(&segment).expect("metadata").len();
-        let length = longer.saturating_sub(cut).max(whole);
+        let length_after = std::fs::metadata(&segment).expect("metadata").len();
+        let length = length_after.saturating_sub(cut).max(length_before);
         let file = OpenOptions::new().write(true).open(&segment).expect("opens");
         file.set_len(length).expect("cut");
         prop_assert_eq!(reopen(folder.path()).entries.len(), 3);
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn damage_in_the_middle_is_refused_with_file_and_offset() {
+fn corruption_before_the_end_is_reported_with_file_and_offset() {
     for (position, what) in [(2, "header"), (20, "record")] {
         let folder = tempfile::tempdir().expect("a folder");
         let (segment, frame) = log_with_two_frames(folder.path());
@@ -177,7 +177,7 @@
             .err()
             .expect("the damage is refused");
         expect_that!(error.to_string(), contains_substring(what));
-        let StorageError::Damaged { path, offset, .. } = error else {
+        let StorageError::Corrupt { path, offset, .. } = error else {
             panic!("another error: {error}");
         };
         expect_that!(path, eq(&segment));
@@ -186,7 +186,7 @@
 }
 
 #[gtest]
-fn a_segment_that_is_not_the_newest_may_not_end_early() {
+fn truncation_of_an_older_segment_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let (segment, _) = log_with_two_frames(folder.path());
     let length = std::fs::metadata(&segment).expect("metadata").len();
@@ -201,7 +201,7 @@
 }
 
 #[gtest]
-fn zeros_after_the_end_are_a_write_that_was_cut_off() {
+fn zeros_after_the_end_are_treated_as_a_truncated_write() {
     let folder = tempfile::tempdir().expect("a folder");
     let (segment, _) = log_with_two_frames(folder.path());
     let length = std::fs::metadata(&segment).expect("metadata").len();
@@ -210,7 +210,7 @@
 }
 
 #[gtest]
-fn a_damaged_snapshot_is_refused() {
+fn a_corrupt_snapshot_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = WriteAheadLog::open(folder.path()).expect("the log opens");
     log.save(&entries(1, 1, 3)).expect("saved");
@@ -224,7 +224,7 @@
 }
 
 #[gtest]
-fn a_folder_in_use_is_refused() {
+fn a_folder_locked_by_another_log_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let _open = WriteAheadLog::open(folder.path()).expect("the log opens");
     let error = WriteAheadLog::open(folder.path()).err().expect("refused");
--- a/crates/coursestand-daemon/src/control/driver.rs
+++ b/crates/coursestand-daemon/src/control/driver.rs
@@ -357,7 +357,7 @@
         let Some(group) = &mut self.group else {
             return;
         };
-        if let Err(failure) = group.replica.hand_over(now) {
+        if let Err(failure) = group.replica.transfer_leadership(now) {
             warn!(target: LOG, "the leadership was not handed over: {failure}");
         }
     }
--- a/crates/coursestand-daemon/src/control/status.rs
+++ b/crates/coursestand-daemon/src/control/status.rs
@@ -25,7 +25,7 @@
                 address: member.address.clone(),
                 voter: member.is_voter,
                 matched: known.map(|known| known.matched),
-                silent_ms: known.map(|known| now.saturating_sub(known.heard_at)),
+                silent_ms: known.map(|known| now.saturating_sub(known.last_contact_at)),
             }
         })
         .collect();
