--- a/crates/coursestand-catalog/src/catalog.rs
+++ b/crates/coursestand-catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! All items with their versions, and the evacuated zones.
+//! The catalog: all items with their versions, and the evacuated zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,24 +8,24 @@
 use crate::item::{Item, ItemKey, ItemVersion, Limits, Route, ServiceItem};
 use crate::patch::{InvalidPatch, Patch};
 
-/// Position of a change in the replicated log.
+/// Index of a change in the replicated log.
 pub type ChangeIndex = u64;
 
-/// An item as the catalog holds it.
+/// An item, or the tombstone of a removed item, with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
-    /// Its version.
+pub struct VersionedItem {
+    /// Version of the item.
     pub version: ItemVersion,
-    /// Its content; none once it was dropped. The version of a dropped item
-    /// stays, so that an older change can't bring it back.
+    /// Content; `None` after a removal. The version of a removed item is kept, so that
+    /// an older change can't restore it.
     pub item: Option<Item>,
-    /// The change that set it so.
+    /// Index of the change that set this version.
     pub changed: ChangeIndex,
 }
 
-impl Held {
-    fn without_notation(&self) -> Held {
-        Held {
+impl VersionedItem {
+    fn without_notation(&self) -> VersionedItem {
+        VersionedItem {
             version: self.version,
             item: self.item.as_ref().map(Item::without_notation),
             changed: self.changed,
@@ -33,52 +33,51 @@
     }
 }
 
-/// Whether a zone is evacuated.
+/// Evacuation state of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Nothing may be sent to the back ends of the zone.
+    /// Whether requests to the back ends of the zone are forbidden.
     pub is_active: bool,
-    /// The change that set it so.
+    /// Index of the change that set this state.
     pub changed: ChangeIndex,
 }
 
 /// All items and evacuated zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    items: BTreeMap<ItemKey, Held>,
+    items: BTreeMap<ItemKey, VersionedItem>,
     evacuations: BTreeMap<ZoneId, Evacuation>,
     version: ChangeIndex,
 }
 
-/// What changed since an earlier change.
+/// The items and zones that changed after a given change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogDelta {
-    /// It holds all changes after this one.
+    /// The delta contains all changes after this one.
     pub since: ChangeIndex,
-    /// Newest change that it covers.
+    /// Latest change that the delta includes.
     pub version: ChangeIndex,
-    /// Items that changed.
-    pub items: Vec<(ItemKey, Held)>,
-    /// Zones that changed.
+    /// Changed items.
+    pub items: Vec<(ItemKey, VersionedItem)>,
+    /// Changed evacuation states.
     pub evacuations: Vec<(ZoneId, Evacuation)>,
 }
 
 impl Catalog {
-    /// Newest change that had an effect.
+    /// Returns the index of the latest change that had an effect.
     pub fn version(&self) -> ChangeIndex {
         self.version
     }
 
-    /// Whether nothing was ever set.
+    /// Returns whether no item was ever set.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Takes a change in, as a whole or not at all. For each item the highest
-    /// version stands; a lower one changes nothing, and an equal one must have
-    /// the same content.
+    /// Applies a patch atomically. The highest version of each item wins; a lower version
+    /// is ignored, and an upsert with an equal version must have the same content.
     pub fn merge(&mut self, patch: &Patch, index: ChangeIndex) -> Result<(), InvalidPatch> {
-        patch.validate(&self.known_services())?;
+        patch.validate(&self.present_and_removed_services())?;
         self.check_conflicts(patch)?;
         for upsert in &patch.upserts {
             let content = Some(upsert.item.clone());
@@ -92,11 +91,11 @@
 
     fn check_conflicts(&self, patch: &Patch) -> Result<(), InvalidPatch> {
         for upsert in &patch.upserts {
-            let Some(held) = self.items.get(&upsert.key) else {
+            let Some(entry) = self.items.get(&upsert.key) else {
                 continue;
             };
             let is_conflict =
-                held.version == upsert.version && held.item.as_ref() != Some(&upsert.item);
+                entry.version == upsert.version && entry.item.as_ref() != Some(&upsert.item);
             if is_conflict {
                 return Err(InvalidPatch::Conflict {
                     key: upsert.key.clone(),
@@ -111,20 +110,20 @@
         let is_newer = self
             .items
             .get(key)
-            .is_none_or(|held| version > held.version);
+            .is_none_or(|entry| version > entry.version);
         if !is_newer {
             return;
         }
-        let held = Held {
+        let entry = VersionedItem {
             version,
             item,
             changed: index,
         };
-        self.items.insert(key.clone(), held);
+        self.items.insert(key.clone(), entry);
         self.version = self.version.max(index);
     }
 
-    /// Evacuates a zone, or takes that back.
+    /// Starts or ends the evacuation of a zone.
     pub fn set_evacuation(&mut self, zone: &ZoneId, is_active: bool, index: ChangeIndex) {
         let known = self.evacuations.get(zone);
         if known.is_some_and(|known| known.is_active == is_active) {
@@ -138,29 +137,34 @@
         self.version = self.version.max(index);
     }
 
-    /// Whether a zone is evacuated.
+    /// Returns whether a zone is evacuated.
     pub fn is_evacuated(&self, zone: &ZoneId) -> bool {
         self.evacuations
             .get(zone)
             .is_some_and(|evacuation| evacuation.is_active)
     }
 
-    /// What changed after `since`.
+    /// Returns the changes after `since`.
     pub fn delta(&self, since: ChangeIndex) -> CatalogDelta {
-        self.delta_of(since, Held::clone)
+        self.copy_changes(since, VersionedItem::clone)
     }
 
-    /// What changed after `since`, as entry daemons decide by it.
+    /// Returns the changes after `since` as entry daemons need them: without the
+    /// operators' notation.
     pub fn steering_delta(&self, since: ChangeIndex) -> CatalogDelta {
-        self.delta_of(since, Held::without_notation)
+        self.copy_changes(since, VersionedItem::without_notation)
     }
 
-    fn delta_of(&self, since: ChangeIndex, copy: impl Fn(&Held) -> Held) -> CatalogDelta {
+    fn copy_changes(
+        &self,
+        since: ChangeIndex,
+        copy: impl Fn(&VersionedItem) -> VersionedItem,
+    ) -> CatalogDelta {
         let items = self
             .items
             .iter()
-            .filter(|(_, held)| held.changed > since)
-            .map(|(key, held)| (key.clone(), copy(held)))
+            .filter(|(_, entry)| entry.changed > since)
+            .map(|(key, entry)| (key.clone(), copy(entry)))
             .collect();
         let evacuations = self
             .evacuations
@@ -176,19 +180,19 @@
         }
     }
 
-    /// Takes in what another holder sent. Never goes back: an item by its
-    /// version, a zone by its change. Changes that it lacks must not be skipped: a
-    /// delta that begins after the newest one held changes nothing. Returns whether
+    /// Applies a delta from another catalog. Items with a version that is not newer, and
+    /// zones with a change that is not newer, are ignored. A delta that starts after this
+    /// catalog's version is ignored too, because it would skip changes. Returns whether
     /// anything changed.
     pub fn adopt(&mut self, delta: CatalogDelta) -> bool {
         if delta.since > self.version {
             return false;
         }
         let mut changed = false;
-        for (key, held) in delta.items {
+        for (key, entry) in delta.items {
             let known = self.items.get(&key);
-            if known.is_none_or(|known| held.version > known.version) {
-                self.items.insert(key, held);
+            if known.is_none_or(|known| entry.version > known.version) {
+                self.items.insert(key, entry);
                 changed = true;
             }
         }
@@ -203,16 +207,16 @@
         changed
     }
 
-    /// All items that stand.
-    pub fn standing(&self) -> impl Iterator<Item = (&ItemKey, ItemVersion, &Item)> {
+    /// Iterates over the items that are not removed.
+    pub fn live_items(&self) -> impl Iterator<Item = (&ItemKey, ItemVersion, &Item)> {
         self.items
             .iter()
-            .filter_map(|(key, held)| Some((key, held.version, held.item.as_ref()?)))
+            .filter_map(|(key, entry)| Some((key, entry.version, entry.item.as_ref()?)))
     }
 
-    /// All routes that stand, with their names and versions.
+    /// Iterates over the routes with their names and versions.
     pub fn routes(&self) -> impl Iterator<Item = (&str, ItemVersion, &Route)> {
-        self.standing().filter_map(|(key, version, item)| {
+        self.live_items().filter_map(|(key, version, item)| {
             let (ItemKey::Route(name), Item::Route(route)) = (key, item) else {
                 return None;
             };
@@ -220,15 +224,15 @@
         })
     }
 
-    /// All services that stand.
+    /// Iterates over the services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceId> {
-        self.standing().filter_map(|(key, _, _)| match key {
+        self.live_items().filter_map(|(key, _, _)| match key {
             ItemKey::Service(service) => Some(service),
             _ => None,
         })
     }
 
-    /// A service that stands.
+    /// Returns a service, unless it is unknown or removed.
     pub fn service(&self, service: &ServiceId) -> Option<&ServiceItem> {
         let key = ItemKey::Service(service.clone());
         match self.items.get(&key)?.item.as_ref()? {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// The limits of caller connections.
+    /// Returns the limits of caller connections, if set.
     pub fn limits(&self) -> Option<&Limits> {
         match self.items.get(&ItemKey::Limits)?.item.as_ref()? {
             Item::Limits(limits) => Some(limits),
@@ -245,8 +249,9 @@
         }
     }
 
-    /// Services that stand or once stood: an older change may still name them.
-    fn known_services(&self) -> BTreeSet<ServiceId> {
+    /// Returns the present and the removed services: a resent older change may refer to
+    /// a removed one.
+    fn present_and_removed_services(&self) -> BTreeSet<ServiceId> {
         self.items
             .keys()
             .filter_map(|key| match key {
--- a/crates/coursestand-catalog/src/item.rs
+++ b/crates/coursestand-catalog/src/item.rs
@@ -3,21 +3,21 @@
 use coursestand_model::{Millis, RegionId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-/// Version of one item. Versions of different items are not related.
+/// Version of an item. Versions of different items are unrelated.
 pub type ItemVersion = u64;
 
-/// Names an item.
+/// Key of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKey {
-    /// A route by its name.
+    /// A route, by name.
     Route(String),
-    /// A service by its name.
+    /// A service, by name.
     Service(ServiceId),
-    /// The limits of caller connections; there is one such item.
+    /// The limits of caller connections; a single item.
     Limits,
 }
 
-/// An item with its content.
+/// Content of an item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
     /// A route.
@@ -29,8 +29,9 @@
 }
 
 impl Item {
-    /// The item as an entry daemon decides by it: without the operator's text, which is
-    /// two thirds of a route's bytes and only read back at the control processes.
+    /// Returns the item without the operator's notation, as entry daemons need it. The
+    /// notation takes two thirds of a route's bytes and is read back only from control
+    /// processes.
     pub fn without_notation(&self) -> Item {
         let mut item = self.clone();
         match &mut item {
@@ -42,10 +43,10 @@
     }
 }
 
-/// What may be repeated.
+/// Whether the requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Requests may run more than once (idempotent).
     Repeatable,
     /// Requests run at most once.
     Once,
@@ -54,32 +55,32 @@
 }
 
 impl RouteKind {
-    /// Whether a request may run again after its outcome was lost.
+    /// Returns whether a request may be retried when its outcome is unknown.
     pub fn is_repeatable(self) -> bool {
         self == RouteKind::Repeatable
     }
 }
 
-/// A service with its share of a route's requests.
+/// A service with its weight in a traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its weight against the others of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Which services take a route's requests.
+/// Services that serve a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteTarget {
-    /// One service takes all.
+    /// A single service.
     Service(ServiceId),
-    /// Requests are divided by weight.
+    /// Requests are split by weight.
     Split(Vec<WeightedService>),
 }
 
 impl RouteTarget {
-    /// The services with their weights; a single one has weight 1.
+    /// Returns the services with their weights; a single service has weight 1.
     pub fn services(&self) -> Vec<(&ServiceId, u32)> {
         match self {
             RouteTarget::Service(service) => vec![(service, 1)],
@@ -91,28 +92,28 @@
     }
 }
 
-/// A route: which requests go to which service, and within which bounds.
+/// A route: matches requests and defines their target and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Host whose requests it takes.
+    /// Host that the route matches.
     pub host: String,
-    /// Prefix of their path.
+    /// Path prefix that the route matches.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum duration of a request.
     pub timeout_ms: Millis,
-    /// Time within which an answer is worth most.
+    /// Desired response time.
     pub target_latency_ms: Millis,
-    /// Rank of its requests; 0 is the highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// Where they go.
+    /// Services that serve the requests.
     pub target: RouteTarget,
-    /// Most back ends that one request is sent to.
+    /// Maximum number of back ends that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests for one object should meet the same back end.
+    /// Whether requests for the same object should reach the same back end.
     pub affinity: bool,
-    /// Regions that may serve it; empty for all.
+    /// Regions that may serve the route; empty for all.
     pub allowed_regions: Vec<RegionId>,
     /// The item as the operator wrote it, returned unchanged when read back.
     pub notation: String,
@@ -121,28 +122,28 @@
 /// A service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceItem {
-    /// Path that tells the health of a back end.
+    /// Path of the health check of a back end.
     pub health_path: String,
-    /// Connections that one back end accepts from all daemons together.
+    /// Maximum connections to one back end from all daemons together.
     pub max_connections: u32,
     /// How long a back end stays cold after its start.
     pub cold_start_ms: Millis,
-    /// Requests a second that a cold back end bears.
+    /// Maximum requests per second to a cold back end.
     pub cold_per_second: f64,
     /// The item as the operator wrote it.
     pub notation: String,
 }
 
-/// Limits of what callers send.
+/// Limits of caller connections and requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of all headers together.
+    /// Maximum bytes of all headers of a request together.
     pub max_header_bytes: u64,
-    /// Bytes of a body.
+    /// Maximum bytes of a request body.
     pub max_body_bytes: u64,
-    /// Longest time for the headers to arrive.
+    /// Maximum time for the headers to arrive.
     pub header_timeout_ms: Millis,
-    /// Longest time that a connection may rest.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout_ms: Millis,
     /// The item as the operator wrote it.
     pub notation: String,
--- a/crates/coursestand-catalog/src/lib.rs
+++ b/crates/coursestand-catalog/src/lib.rs
@@ -1,13 +1,13 @@
-//! The catalog: configuration items that each have a version of their own, and
-//! the zones that are evacuated. Free of I/O.
+//! The catalog: individually versioned configuration items, and the evacuated zones.
+//! Performs no I/O.
 //!
-//! Items merge by the highest version, so replicas that took the same changes in
-//! any order hold the same items, and a holder never goes back to an older one.
+//! Items merge by the highest version, so replicas that apply the same changes in any
+//! order converge to the same items, and an item never returns to an older version.
 
 pub mod catalog;
 pub mod item;
 pub mod patch;
 
-pub use catalog::{Catalog, CatalogDelta, Held};
+pub use catalog::{Catalog, CatalogDelta, VersionedItem};
 pub use item::{Item, ItemKey, ItemVersion, Limits, Route, RouteKind, RouteTarget, ServiceItem};
 pub use patch::{InvalidPatch, Patch};
--- a/crates/coursestand-catalog/src/patch.rs
+++ b/crates/coursestand-catalog/src/patch.rs
@@ -1,4 +1,4 @@
-//! Changes of several items in one call, and the checks of their content.
+//! Changes of several items in one call, and their validation.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,12 @@
 
 use crate::item::{Item, ItemKey, ItemVersion, Route, RouteTarget};
 
-/// Longest time-out that a route may have.
+/// Maximum time-out of a route.
 pub const MAX_TIMEOUT_MS: Millis = 10 * 60 * 1000;
-/// A target latency lies less than this over its route's time-out.
+/// A route's target latency must exceed its time-out by less than this.
 pub const MAX_TARGET_OVER_TIMEOUT_MS: Millis = 60 * 1000;
 
-/// Sets an item at a version.
+/// Sets an item to a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Upsert {
     /// The item.
@@ -24,41 +24,41 @@
     pub item: Item,
 }
 
-/// Drops an item at a version.
+/// Removes an item with a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
     /// The item.
     pub key: ItemKey,
-    /// The version from which on it is dropped.
+    /// Version of the removal.
     pub version: ItemVersion,
 }
 
-/// A change of several items. It is taken as a whole or not at all.
+/// A change of several items that is applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
     /// Items to set.
     pub upserts: Vec<Upsert>,
-    /// Items to drop.
+    /// Items to remove.
     pub removals: Vec<Removal>,
 }
 
-/// Why a patch is refused as a whole.
+/// Why a patch is rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum InvalidPatch {
-    /// A field has a value that is not allowed.
+    /// A field has an invalid value.
     #[snafu(display("route `{route}`, field `{field}`: found {found}, allowed: {allowed}"))]
     Field {
         /// Name of the route.
         route: String,
         /// The field.
         field: String,
-        /// What it holds.
+        /// Value found.
         found: String,
-        /// What it may hold.
+        /// Description of the allowed values.
         allowed: String,
     },
-    /// An item stands at this version with other content.
-    #[snafu(display("{key:?} has other content at version {version} already"))]
+    /// The item already has different content at this version.
+    #[snafu(display("{key:?} already has different content at version {version}"))]
     Conflict {
         /// The item.
         key: ItemKey,
@@ -68,8 +68,8 @@
 }
 
 impl Patch {
-    /// Checks the content of all items. `known` are the services that the
-    /// catalog has or had; those of the patch itself count too.
+    /// Validates the content of all items. Routes may refer to the services in `known`,
+    /// which are those that the catalog has or had, and to those of the patch itself.
     pub fn validate(&self, known: &BTreeSet<ServiceId>) -> Result<(), InvalidPatch> {
         let mut services = known.clone();
         for upsert in &self.upserts {
@@ -118,7 +118,7 @@
         return invalid(
             "target_latency",
             found,
-            "less than the time-out and a minute",
+            "less than the time-out plus one minute",
         );
     }
     if let RouteTarget::Split(parts) = &route.target {
--- a/crates/coursestand-catalog/tests/merge.rs
+++ b/crates/coursestand-catalog/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merging of items against a naive map, and the checks of patches.
+//! Merging of items compared with a reference model, and the validation of patches.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -73,20 +73,20 @@
     catalog
 }
 
-/// A naive holder: the version and content of each name, one operation at a time.
+/// Reference model: a map from names to versions and contents.
 #[derive(Default)]
-struct Naive {
-    held: BTreeMap<String, (u64, Option<u64>)>,
+struct ReferenceMap {
+    items: BTreeMap<String, (u64, Option<u64>)>,
 }
 
-impl Naive {
-    /// Whether the change is taken.
+impl ReferenceMap {
+    /// Applies a change; returns whether it is accepted.
     fn set(&mut self, name: &str, version: u64, content: Option<u64>) -> bool {
-        match self.held.get(name) {
-            Some((held, old)) if *held == version && content.is_some() => *old == content,
-            Some((held, _)) if *held >= version => true,
+        match self.items.get(name) {
+            Some((items, old)) if *items == version && content.is_some() => *old == content,
+            Some((items, _)) if *items >= version => true,
             _ => {
-                self.held.insert(name.to_owned(), (version, content));
+                self.items.insert(name.to_owned(), (version, content));
                 true
             }
         }
@@ -97,13 +97,13 @@
 struct Change {
     name: String,
     version: u64,
-    /// The time-out of the route; none drops it.
+    /// The time-out of the route; `None` removes it.
     content: Option<u64>,
 }
 
 fn changes() -> impl Strategy<Value = Vec<Change>> {
-    let one = (0..4_u8, 1..8_u64, proptest::option::weighted(0.8, 1..4_u64));
-    proptest::collection::vec(one, 1..40).prop_map(|all| {
+    let fields = (0..4_u8, 1..8_u64, proptest::option::weighted(0.8, 1..4_u64));
+    proptest::collection::vec(fields, 1..40).prop_map(|all| {
         all.into_iter()
             .map(|(name, version, content)| Change {
                 name: format!("r{name}"),
@@ -130,28 +130,28 @@
 
 proptest! {
     #[test]
-    fn items_merge_like_a_naive_map(all in changes()) {
+    fn items_merge_like_the_reference_model(all in changes()) {
         let mut catalog = with_service();
-        let mut naive = Naive::default();
+        let mut reference = ReferenceMap::default();
         for (index, change) in all.iter().enumerate() {
             let taken = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
-            prop_assert_eq!(taken, naive.set(&change.name, change.version, change.content));
-            // Sent again with no change in between, it gets the same answer.
+            prop_assert_eq!(taken, reference.set(&change.name, change.version, change.content));
+            // A resent change gets the same answer.
             let again = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
             prop_assert_eq!(again, taken);
         }
-        let expected: BTreeMap<String, (u64, u64)> = naive
-            .held
+        let expected: BTreeMap<String, (u64, u64)> = reference
+            .items
             .into_iter()
             .filter_map(|(name, (version, content))| Some((name, (version, content?))))
             .collect();
         prop_assert_eq!(contents(&catalog), expected);
     }
 
-    /// A follower that gets deltas late, twice and out of order ends with what
-    /// the source has, and no item of it ever goes back.
+    /// A follower that receives delayed, duplicated and reordered deltas converges to the
+    /// source, and none of its items ever returns to an older version.
     #[test]
-    fn followers_never_go_back(all in changes(), order in proptest::collection::vec(0..40_usize, 1..60)) {
+    fn items_of_a_follower_never_return_to_an_older_version(all in changes(), order in proptest::collection::vec(0..40_usize, 1..60)) {
         let mut source = with_service();
         let mut deltas = vec![source.delta(0)];
         for (index, change) in all.iter().enumerate() {
@@ -163,7 +163,7 @@
         let mut newest: BTreeMap<ItemKey, u64> = BTreeMap::new();
         for pick in order {
             follower.adopt(deltas[pick % deltas.len()].clone());
-            for (key, version, _) in follower.standing() {
+            for (key, version, _) in follower.live_items() {
                 let known = newest.entry(key.clone()).or_default();
                 prop_assert!(version >= *known);
                 *known = version;
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn an_older_change_does_not_bring_a_dropped_item_back() {
+fn an_older_change_does_not_restore_a_removed_item() {
     let mut catalog = with_service();
     catalog.merge(&upsert("r", 3, route(5)), 2).expect("valid");
     catalog.merge(&removal("r", 7), 3).expect("valid");
@@ -188,7 +188,7 @@
 }
 
 #[gtest]
-fn nothing_of_an_invalid_patch_takes_effect() {
+fn an_invalid_patch_is_rejected_as_a_whole() {
     let unweighted = RouteTarget::Split(vec![WeightedService {
         service: ServiceId::from("s"),
         weight: 0,
@@ -251,7 +251,7 @@
 }
 
 #[gtest]
-fn a_resent_change_may_name_a_service_that_was_dropped_since() {
+fn a_resent_change_may_refer_to_a_service_removed_since() {
     let mut catalog = with_service();
     catalog.merge(&upsert("r", 3, route(5)), 2).expect("valid");
     let drop_service = Patch {
@@ -266,7 +266,7 @@
 }
 
 #[gtest]
-fn evacuations_follow_the_order_of_the_log() {
+fn a_delayed_delta_does_not_restore_an_older_evacuation_state() {
     let zone = ZoneId::from("z");
     let mut source = Catalog::default();
     source.set_evacuation(&zone, true, 4);
--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_telling.rs
@@ -120,13 +120,13 @@
     /// of the control process as of then.
     fn skips_nothing(&self) -> bool {
         let version = self.daemon.version();
-        let known = self.daemon.standing().count();
+        let known = self.daemon.live_items().count();
         let changed_later = self.catalog.delta(version).items.len();
-        known + changed_later >= self.catalog.standing().count()
+        known + changed_later >= self.catalog.live_items().count()
     }
 
     fn has_all(&self) -> bool {
-        let count = |catalog: &Catalog| catalog.standing().count();
+        let count = |catalog: &Catalog| catalog.live_items().count();
         count(&self.daemon) == count(&self.catalog)
     }
 }
--- a/crates/coursestand-dialect/src/native.rs
+++ b/crates/coursestand-dialect/src/native.rs
@@ -75,7 +75,7 @@
 
     fn catalog(&self, catalog: &Catalog) -> Reply {
         let items: Vec<_> = catalog
-            .standing()
+            .live_items()
             .map(|(key, version, item)| json!({"key": key, "version": version, "item": item}))
             .collect();
         Reply::json(&json!({ "items": items }))
