--- a/crates/coursestand-daemon/src/fleet/catalog_news.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_news.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use coursestand_catalog::CatalogDelta;
 use coursestand_transport::TransportError;
+use coursestand_transport::compression::compress;
 use coursestand_transport::frame::encode;
-use coursestand_transport::packed::pack;
 use log::info;
 
 use crate::fleet::wire::{CatalogPart, ToEdge};
@@ -70,7 +70,7 @@
         if let Some(packed) = self.packed.get() {
             return Ok(packed.clone());
         }
-        let packed = Bytes::from(pack(&self.frame)?);
+        let packed = Bytes::from(compress(&self.frame)?);
         info!(target: LOG, catalog = self.version, items = self.items,
             bytes = self.frame.len(), packed_bytes = packed.len();
             "a large change is ready for entry daemons");
--- a/crates/coursestand-daemon/src/fleet/catalog_parts.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_parts.rs
@@ -1,8 +1,8 @@
 //! Puts the parts of a catalog frame together again.
 
 use coursestand_transport::TransportError;
+use coursestand_transport::compression::decompress;
 use coursestand_transport::frame::decode;
-use coursestand_transport::packed::unpack;
 
 use crate::fleet::wire::{CatalogPart, ToEdge};
 
@@ -28,7 +28,7 @@
         if self.packed.len() < part.length {
             return Ok(None);
         }
-        let frame = unpack(&std::mem::take(&mut self.packed))?;
+        let frame = decompress(&std::mem::take(&mut self.packed))?;
         decode(&frame).map(Some)
     }
 }
--- a/crates/coursestand-daemon/src/fleet/control_link.rs
+++ b/crates/coursestand-daemon/src/fleet/control_link.rs
@@ -180,7 +180,7 @@
     receiver: &mut Receiver<ToEdge>,
 ) -> Result<ToEdge, StreamError> {
     let message = receiver.next().await?;
-    let length = receiver.last_length();
+    let length = receiver.last_message_length();
     follower.metrics().count_received(&message, length);
     Ok(message)
 }
@@ -204,7 +204,7 @@
     /// Connects and greets.
     async fn open(follower: &EdgeFollower, control: SocketAddr) -> Result<Session, StreamError> {
         let (receiver, mut sender) = stream::connect::<ToEdge, ToControl>(control).await?;
-        sender.bear_silence(LINK_SILENCE)?;
+        sender.set_ack_timeout(LINK_SILENCE)?;
         let mut phases = follower.phases();
         phases.mark_unchanged();
         let have = follower.catalog().version();
@@ -248,7 +248,7 @@
             Ok(message) => message?,
             Err(_) => {
                 let limit_ms = limit.as_millis();
-                return Err(StreamError::Silent { limit_ms });
+                return Err(StreamError::ReceiveTimeout { limit_ms });
             }
         };
         Ok((session, message))
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -78,7 +78,9 @@
     // The first message tells what is sent back on the connection.
     let (mut receiver, sender) = stream::split::<ToControl, ()>(connection)?;
     match receiver.next_within(EDGE_SILENCE).await? {
-        ToControl::PeerHello(peer) => serve_peer(peer, receiver, sender.retyped(), serving).await,
+        ToControl::PeerHello(peer) => {
+            serve_peer(peer, receiver, sender.with_message_type(), serving).await
+        }
         ToControl::EdgeHello {
             record,
             have,
@@ -91,7 +93,15 @@
                 cases,
                 limits,
             };
-            serve_edge(record, have, reads, receiver, sender.retyped(), serving).await
+            serve_edge(
+                record,
+                have,
+                reads,
+                receiver,
+                sender.with_message_type(),
+                serving,
+            )
+            .await
         }
         _ => Err(StreamError::Ended),
     }
@@ -121,7 +131,7 @@
             }
             Some(reply) = queue.recv() => sender.send(&reply).await?,
             () = tokio::time::sleep_until(heard_at + SILENCE) => {
-                return Err(StreamError::Silent { limit_ms: SILENCE.as_millis() });
+                return Err(StreamError::ReceiveTimeout { limit_ms: SILENCE.as_millis() });
             }
         }
     }
@@ -214,7 +224,7 @@
     serving: &Arc<Serving>,
 ) -> Result<(), StreamError> {
     let hub = &serving.hub;
-    sender.bear_silence(EDGE_SILENCE)?;
+    sender.set_ack_timeout(EDGE_SILENCE)?;
     if reads.findings {
         sender.send(&ToEdge::Findings(Vec::new())).await?;
     }
@@ -398,7 +408,7 @@
                 }
                 () = tokio::time::sleep_until(heard_at + EDGE_SILENCE) => {
                     let limit_ms = EDGE_SILENCE.as_millis();
-                    return Err(StreamError::Silent { limit_ms });
+                    return Err(StreamError::ReceiveTimeout { limit_ms });
                 }
             }
         }
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -236,7 +236,7 @@
             }
             () = tokio::time::sleep_until(heard_at + PEER_SILENCE) => {
                 let limit_ms = PEER_SILENCE.as_millis();
-                return Err(StreamError::Silent { limit_ms });
+                return Err(StreamError::ReceiveTimeout { limit_ms });
             }
         }
     }
--- a/crates/coursestand-transport/benches/exchange.rs
+++ b/crates/coursestand-transport/benches/exchange.rs
@@ -1,5 +1,5 @@
-//! Latency of one exchange, alone and with ten others at the same time, and the
-//! throughput of one client.
+//! Latency of an exchange, with sequential requests to one peer and with concurrent
+//! requests to 11 peers.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
--- a/crates/coursestand-transport/src/client.rs
+++ b/crates/coursestand-transport/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking side of an exchange.
+//! The client side of an exchange.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -13,35 +13,35 @@
 use snafu::ResultExt;
 use tokio::sync::oneshot;
 
-use crate::close::close_aside;
+use crate::close::close_in_background;
 use crate::frame::{MAX_FRAME_BYTES, MessagingSnafu, TransportError, decode, encode};
 
-/// The library would resend a request by itself after this time; longer than any
-/// deadline, because only the caller knows whether a request may be sent again.
-const NEVER_RESEND: Duration = Duration::from_secs(24 * 3600);
+/// Time after which the library resends a request by itself. Longer than any deadline,
+/// because only the caller knows whether a request may be sent again.
+const RESEND_TIME: Duration = Duration::from_secs(24 * 3600);
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(500);
 
 type Answer = Result<Message, nng::Error>;
-type Waiting = Arc<Mutex<Option<oneshot::Sender<Answer>>>>;
+type PendingReply = Arc<Mutex<Option<oneshot::Sender<Answer>>>>;
 
-/// A context of the socket with its operation; carries one exchange at a time.
-struct Lane {
+/// A socket context with its asynchronous operation; serves one exchange at a time.
+struct RequestSlot {
     context: Context,
     operation: Aio,
-    waiting: Waiting,
+    pending_reply: PendingReply,
 }
 
 /// Sends requests of one type to one address.
 pub struct Client<Request, Reply> {
     address: SocketAddr,
     socket: Option<Socket>,
-    idle: Mutex<Vec<Lane>>,
+    idle: Mutex<Vec<RequestSlot>>,
     types: PhantomData<fn(Request) -> Reply>,
 }
 
 impl<Request: Serialize, Reply: DeserializeOwned> Client<Request, Reply> {
-    /// A client for `address`; it connects in the background and reconnects.
+    /// Creates a client for `address`; it connects and reconnects in the background.
     pub fn new(address: SocketAddr) -> Result<Self, TransportError> {
         let socket = connect(address).context(MessagingSnafu { address })?;
         Ok(Client {
@@ -52,13 +52,13 @@
         })
     }
 
-    /// The other side.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request and waits for its reply. After an error the request may
-    /// or may not have been taken.
+    /// Sends a request and waits for its reply. After an error the request may or may not
+    /// have been processed.
     pub async fn exchange(
         &self,
         request: &Request,
@@ -66,46 +66,46 @@
     ) -> Result<Reply, TransportError> {
         let frame = encode(request)?;
         let address = self.address;
-        let lane = self.take_lane()?;
+        let slot = self.acquire_slot()?;
         let (sender, answer) = oneshot::channel();
-        *locked(&lane.waiting) = Some(sender);
-        lane.context
-            .send(&lane.operation, Message::from(frame.as_slice()))
+        *locked(&slot.pending_reply) = Some(sender);
+        slot.context
+            .send(&slot.operation, Message::from(frame.as_slice()))
             .map_err(|(_, source)| source)
             .context(MessagingSnafu { address })?;
-        let expired = TransportError::Deadline {
+        let deadline_error = TransportError::Deadline {
             address,
             deadline_ms: deadline.as_millis(),
         };
-        // A lane that still waits is dropped and closed, so that a late reply
-        // is never taken for that of another request.
+        // After a time-out the slot is dropped and its context closed, so that a late
+        // reply is never matched to another request.
         let Ok(Ok(answer)) = tokio::time::timeout(deadline, answer).await else {
-            return Err(expired);
+            return Err(deadline_error);
         };
         let message = answer.context(MessagingSnafu { address })?;
-        locked(&self.idle).push(lane);
+        locked(&self.idle).push(slot);
         decode(message.as_slice())
     }
 
-    fn take_lane(&self) -> Result<Lane, TransportError> {
-        if let Some(lane) = locked(&self.idle).pop() {
-            return Ok(lane);
+    fn acquire_slot(&self) -> Result<RequestSlot, TransportError> {
+        if let Some(slot) = locked(&self.idle).pop() {
+            return Ok(slot);
         }
         let address = self.address;
         let Some(socket) = &self.socket else {
             let source = nng::Error::Closed;
             return Err(TransportError::Messaging { address, source });
         };
-        new_lane(socket).context(MessagingSnafu { address })
+        open_slot(socket).context(MessagingSnafu { address })
     }
 }
 
 impl<Request, Reply> Drop for Client<Request, Reply> {
     fn drop(&mut self) {
-        let lanes = std::mem::take(&mut *locked(&self.idle));
+        let slots = std::mem::take(&mut *locked(&self.idle));
         let socket = self.socket.take();
-        close_aside(move || {
-            drop(lanes);
+        close_in_background(move || {
+            drop(slots);
             drop(socket);
         });
     }
@@ -113,7 +113,7 @@
 
 fn connect(address: SocketAddr) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Req0)?;
-    socket.set_opt::<ResendTime>(Some(NEVER_RESEND))?;
+    socket.set_opt::<ResendTime>(Some(RESEND_TIME))?;
     socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
     socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
     socket.set_opt::<RecvMaxSize>(MAX_FRAME_BYTES)?;
@@ -121,13 +121,13 @@
     Ok(socket)
 }
 
-fn new_lane(socket: &Socket) -> Result<Lane, nng::Error> {
+fn open_slot(socket: &Socket) -> Result<RequestSlot, nng::Error> {
     let context = Context::new(socket)?;
-    let waiting = Waiting::default();
-    let to = Arc::clone(&waiting);
+    let pending_reply = PendingReply::default();
+    let pending = Arc::clone(&pending_reply);
     let deliver = move |answer: Answer| {
-        if let Some(sender) = locked(&to).take() {
-            // The asker may have given up.
+        if let Some(sender) = locked(&pending).take() {
+            // The receiver is dropped if the deadline has passed.
             let _ = sender.send(answer);
         }
     };
@@ -142,10 +142,10 @@
         AioResult::Recv(answer) => deliver(answer),
         AioResult::Sleep(_) => {}
     })?;
-    Ok(Lane {
+    Ok(RequestSlot {
         context,
         operation,
-        waiting,
+        pending_reply,
     })
 }
 
--- a/crates/coursestand-transport/src/close.rs
+++ b/crates/coursestand-transport/src/close.rs
@@ -1,16 +1,16 @@
-//! Closing sockets of the messaging library.
+//! Closing of the messaging library's sockets.
 
 use log::warn;
 
 const LOG: &str = "transport";
 
-/// Runs `close` on a thread of its own: the library waits in it until operations
-/// of other threads have ended, which must not block a thread of the runtime.
-pub fn close_aside(close: impl FnOnce() + Send + 'static) {
+/// Runs `close` on a separate thread: closing blocks until the operations of other
+/// threads have ended, which must not block a runtime thread.
+pub fn close_in_background(close: impl FnOnce() + Send + 'static) {
     let started = std::thread::Builder::new()
         .name("close".to_owned())
         .spawn(close);
     if let Err(error) = started {
-        warn!(target: LOG, "a socket stays open: {error}");
+        warn!(target: LOG, "a socket was not closed, since no thread could be started: {error}");
     }
 }
--- a/crates/coursestand-transport/src/frame.rs
+++ b/crates/coursestand-transport/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: two bytes of protocol version (little endian), then the message in
+//! Frames: a protocol version of two bytes (little endian), followed by the message in
 //! the `postcard` encoding.
 
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Version of the messages; both sides must have the same.
+/// Protocol version; both sides must use the same.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Largest frame in bytes that a process accepts.
+/// Maximum size of a frame in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 const VERSION_BYTES: usize = size_of::<u16>();
@@ -18,57 +18,57 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TransportError {
-    /// The messaging library refused an operation.
+    /// An operation of the messaging library failed.
     #[snafu(display("messaging with {address}: {source}"))]
     Messaging {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
         /// Cause.
         source: nng::Error,
     },
-    /// No answer came in time.
+    /// No answer arrived before the deadline.
     #[snafu(display("no answer from {address} within {deadline_ms} ms"))]
     Deadline {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Time that the exchange had.
+        /// Deadline of the exchange in milliseconds.
         deadline_ms: u128,
     },
     /// A message can't be encoded or decoded.
-    #[snafu(display("message of {length} bytes can't be read or written: {source}"))]
+    #[snafu(display("message of {length} bytes can't be encoded or decoded: {source}"))]
     Codec {
-        /// Length of the frame.
+        /// Length of the frame in bytes; 0 when encoding.
         length: usize,
         /// Cause.
         source: postcard::Error,
     },
-    /// The frame is shorter than its version.
+    /// The frame is too short for a protocol version.
     #[snafu(display("frame of {length} bytes is too short"))]
     TooShort {
         /// Length of the frame.
         length: usize,
     },
-    /// The frame is longer than allowed.
-    #[snafu(display("frame of {length} bytes is longer than {MAX_FRAME_BYTES}"))]
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[snafu(display("frame of {length} bytes exceeds {MAX_FRAME_BYTES} bytes"))]
     TooLong {
         /// Length of the frame.
         length: usize,
     },
-    /// A packed frame can't be read or written.
-    #[snafu(display("packed frame: {source}"))]
-    Packed {
+    /// A frame can't be compressed or decompressed.
+    #[snafu(display("compressed frame: {source}"))]
+    Compression {
         /// Cause.
         source: std::io::Error,
     },
-    /// The other side speaks another protocol version.
-    #[snafu(display("protocol version {found}, this process has {PROTOCOL_VERSION}"))]
+    /// The peer uses a different protocol version.
+    #[snafu(display("peer has protocol version {found}, this process has {PROTOCOL_VERSION}"))]
     Version {
-        /// Version of the other side.
+        /// Protocol version of the peer.
         found: u16,
     },
 }
 
-/// Encodes a message.
+/// Encodes a message as a frame. Fails if the frame exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, TransportError> {
     let frame = PROTOCOL_VERSION.to_le_bytes().to_vec();
     let frame = postcard::to_extend(message, frame).context(CodecSnafu { length: 0usize })?;
@@ -81,7 +81,7 @@
     Ok(frame)
 }
 
-/// Decodes a message.
+/// Decodes the message of a frame. Fails if its protocol version differs.
 pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> Result<T, TransportError> {
     let length = frame.len();
     let (version, message) = frame
--- a/crates/coursestand-transport/src/server.rs
+++ b/crates/coursestand-transport/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of an exchange.
+//! The server side of an exchange.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,33 +12,34 @@
 use snafu::ResultExt;
 use tokio::runtime::Handle;
 
-use crate::close::close_aside;
+use crate::close::close_in_background;
 use crate::frame::{MAX_FRAME_BYTES, MessagingSnafu, TransportError, decode, encode};
 
 const LOG: &str = "transport";
 
-/// Answers requests of one type.
+/// Handles requests of one type.
 pub trait Handler<Request, Reply>: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles a request and returns its reply.
     fn handle(&self, request: Request) -> impl Future<Output = Reply> + Send;
 }
 
-/// A listening socket with a fixed number of exchanges at the same time.
+/// A listening socket that serves a fixed number of concurrent exchanges.
 pub struct Server {
     address: SocketAddr,
-    open: Mutex<Option<Open>>,
+    open: Mutex<Option<OpenSocket>>,
 }
 
-struct Open {
+struct OpenSocket {
     socket: Socket,
     contexts: Vec<Context>,
-    /// An operation ends when its handle is dropped.
+    /// Kept because an operation is cancelled when its handle is dropped.
     operations: Vec<Aio>,
 }
 
 impl Server {
-    /// Listens on `address` and answers with `handler`, up to `exchanges` at the
-    /// same time; more wait in the socket. Call it inside a tokio runtime.
+    /// Listens on `address` and serves up to `exchanges` concurrent requests with
+    /// `handler`; further requests wait in the socket. Must be called within a tokio
+    /// runtime.
     pub fn start<Request, Reply, H>(
         address: SocketAddr,
         exchanges: usize,
@@ -63,7 +64,7 @@
         socket
             .listen(&format!("tcp://{address}"))
             .context(context)?;
-        let open = Open {
+        let open = OpenSocket {
             socket,
             contexts,
             operations,
@@ -74,12 +75,12 @@
         })
     }
 
-    /// The address on which it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops listening; exchanges under way get no reply.
+    /// Stops listening; exchanges in progress get no reply.
     pub fn stop(&self) {
         let open = self
             .open
@@ -89,8 +90,8 @@
         let Some(open) = open else {
             return;
         };
-        close_aside(move || {
-            // Contexts first: the socket waits for those that are open.
+        close_in_background(move || {
+            // Contexts first: closing the socket waits for open contexts.
             for context in &open.contexts {
                 context.close();
             }
@@ -143,8 +144,8 @@
     let request: Request = match decode(message.as_slice()) {
         Ok(request) => request,
         Err(error) => {
-            // The asker sees no reply and reports its deadline.
-            warn!(target: LOG, "a request was refused: {error}");
+            // The client gets no reply and reports that its deadline has passed.
+            warn!(target: LOG, "request can't be decoded: {error}");
             receive_next(&context, &aio);
             return;
         }
@@ -153,11 +154,11 @@
     match encode(&reply) {
         Ok(frame) => {
             if let Err((_, error)) = context.send(&aio, Message::from(frame.as_slice())) {
-                debug!(target: LOG, "a reply was not sent: {error}");
+                debug!(target: LOG, "reply can't be sent: {error}");
             }
         }
         Err(error) => {
-            warn!(target: LOG, "a reply was not encoded: {error}");
+            warn!(target: LOG, "reply can't be encoded: {error}");
             receive_next(&context, &aio);
         }
     }
@@ -167,6 +168,6 @@
     if let Err(error) = context.recv(aio)
         && error != nng::Error::Closed
     {
-        warn!(target: LOG, "an exchange ended: {error}");
+        warn!(target: LOG, "exchange stopped, can't receive further requests: {error}");
     }
 }
--- a/crates/coursestand-transport/src/stream.rs
+++ b/crates/coursestand-transport/src/stream.rs
@@ -1,8 +1,8 @@
-//! Kept TCP connections that carry typed messages both ways.
+//! Persistent TCP connections that carry typed messages in both directions.
 //!
-//! `nng` gives no hold on a connection's time-outs: behind a silent cut, its
-//! connections wait for the system's retransmissions, which take longer with each
-//! try. These connections end by themselves when the peer confirms nothing.
+//! `nng` offers no control over a connection's time-outs: during a network partition,
+//! its connections wait for TCP retransmissions, whose intervals grow with each attempt.
+//! These connections are closed when the peer acknowledges no data in time.
 
 use std::io;
 use std::marker::PhantomData;
@@ -22,12 +22,12 @@
 
 use crate::frame::{MAX_FRAME_BYTES, TransportError, decode, encode};
 
-/// A peer that confirms no bytes for this long is lost.
-pub const SILENCE: Duration = Duration::from_millis(1_500);
-/// Longest time to make a connection. Over a link that is full, the first packet and
-/// its answer wait in queues: 1.3 s were measured at entry daemons that had ten times
-/// their usual requests, and a limit of 0.5 s kept such daemons from control.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(3_000);
+/// Time without TCP acknowledgement of sent data after which a connection is closed.
+pub const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum time to establish a connection. On a saturated link the handshake packets wait
+/// in queues: 1.3 s at entry daemons with ten times their usual requests. A limit of
+/// 0.5 s would keep such daemons from connecting to control.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Why a stream ended.
 #[derive(Debug, Snafu)]
@@ -45,22 +45,22 @@
         /// Cause.
         source: TransportError,
     },
-    /// Nothing came for too long.
-    #[snafu(display("nothing came for {limit_ms} ms"))]
-    Silent {
-        /// Longest time without a message.
+    /// No message arrived in time.
+    #[snafu(display("no message received for {limit_ms} ms"))]
+    ReceiveTimeout {
+        /// Maximum time without a message in milliseconds.
         limit_ms: u128,
     },
-    /// The peer ended the connection.
-    #[snafu(display("the peer ended the connection"))]
+    /// The peer closed the connection.
+    #[snafu(display("the peer closed the connection"))]
     Ended,
 }
 
 /// Receives messages of one type.
 pub struct Receiver<T> {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    /// Length of the newest message in bytes.
-    last_length: usize,
+    /// Encoded length in bytes of the latest message.
+    last_message_length: usize,
     message: PhantomData<T>,
 }
 
@@ -70,18 +70,19 @@
     message: PhantomData<T>,
 }
 
-/// Time between two attempts to connect. A machine that comes back does not answer
-/// what was sent to it before, and the system repeats that a second later: a fresh
-/// attempt finds it sooner. Earlier attempts go on, for those whose answer is slow.
-const ATTEMPT_PAUSE: Duration = Duration::from_millis(200);
-/// Attempts after which refusals alone are an error: nobody listens there.
-const MOST_REFUSALS: usize = 3;
+/// Interval between two attempts to connect. A machine that has just recovered does not
+/// answer packets sent before that, and TCP retransmits them only after a second: a new
+/// attempt reaches it sooner. Earlier attempts continue, in case their answers are slow.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of failed attempts after which connecting fails if no attempt is pending: no
+/// process listens on the address.
+const MAX_REFUSALS: usize = 3;
 
-/// Connects to `address`: the first attempt that succeeds counts.
+/// Connects to `address` with overlapping attempts; the first success wins.
 pub async fn connect<In, Out>(
     address: SocketAddr,
 ) -> Result<(Receiver<In>, Sender<Out>), StreamError> {
-    let connecting = tokio::time::timeout(CONNECT_LIMIT, attempt_until_connected(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, attempt_until_connected(address));
     let stream = connecting
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))
@@ -92,7 +93,7 @@
 
 async fn attempt_until_connected(address: SocketAddr) -> io::Result<TcpStream> {
     let mut attempts = FuturesUnordered::new();
-    let mut pause = tokio::time::interval(ATTEMPT_PAUSE);
+    let mut pause = tokio::time::interval(ATTEMPT_INTERVAL);
     let mut refusals = 0;
     loop {
         tokio::select! {
@@ -101,7 +102,7 @@
                 Ok(stream) => return Ok(stream),
                 Err(error) => {
                     refusals += 1;
-                    if refusals >= MOST_REFUSALS && attempts.is_empty() {
+                    if refusals >= MAX_REFUSALS && attempts.is_empty() {
                         return Err(error);
                     }
                 }
@@ -110,21 +111,21 @@
     }
 }
 
-/// Ends the connection when the peer confirms no bytes for `silence`.
-fn set_silence(stream: &TcpStream, silence: Duration) -> Result<(), StreamError> {
+/// Closes the connection if the peer acknowledges no data for `ack_timeout`.
+fn set_tcp_ack_timeout(stream: &TcpStream, ack_timeout: Duration) -> Result<(), StreamError> {
     SockRef::from(stream)
-        .set_tcp_user_timeout(Some(silence))
+        .set_tcp_user_timeout(Some(ack_timeout))
         .context(ConnectionSnafu)
 }
 
-/// Messages over a connection that was made or accepted.
+/// Splits a connection into a receiver and a sender of messages.
 pub fn split<In, Out>(stream: TcpStream) -> Result<(Receiver<In>, Sender<Out>), StreamError> {
     stream.set_nodelay(true).context(ConnectionSnafu)?;
-    set_silence(&stream, SILENCE)?;
+    set_tcp_ack_timeout(&stream, ACK_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let receiver = Receiver {
         frames: FramedRead::new(read, codec()),
-        last_length: 0,
+        last_message_length: 0,
         message: PhantomData,
     };
     let sender = Sender {
@@ -141,19 +142,19 @@
 }
 
 impl<T: DeserializeOwned> Receiver<T> {
-    /// The next message.
+    /// Receives the next message.
     pub async fn next(&mut self) -> Result<T, StreamError> {
         let frame = self.frames.next().await.ok_or(StreamError::Ended)?;
         let frame = frame.context(ConnectionSnafu)?;
-        self.last_length = frame.len();
+        self.last_message_length = frame.len();
         decode(&frame).context(MessageSnafu)
     }
 
-    /// The next message, which has to come within `limit`.
+    /// Receives the next message; fails if none arrives within `limit`.
     pub async fn next_within(&mut self, limit: Duration) -> Result<T, StreamError> {
         match tokio::time::timeout(limit, self.next()).await {
             Ok(result) => result,
-            Err(_) => Err(StreamError::Silent {
+            Err(_) => Err(StreamError::ReceiveTimeout {
                 limit_ms: limit.as_millis(),
             }),
         }
@@ -161,22 +162,23 @@
 }
 
 impl<T> Receiver<T> {
-    /// Length in bytes of the message that came last, without what the network adds.
-    pub fn last_length(&self) -> usize {
-        self.last_length
+    /// Returns the encoded length in bytes of the latest message, without TCP/IP and
+    /// length headers.
+    pub fn last_message_length(&self) -> usize {
+        self.last_message_length
     }
 }
 
 impl<T> Sender<T> {
-    /// Waits this long for the peer to confirm bytes, in place of [`SILENCE`]: for a
-    /// peer behind a link that may be full.
-    pub fn bear_silence(&self, silence: Duration) -> Result<(), StreamError> {
-        set_silence(self.frames.get_ref().as_ref(), silence)
+    /// Replaces [`ACK_TIMEOUT`] for this connection, for a peer behind a link that may be
+    /// saturated.
+    pub fn set_ack_timeout(&self, ack_timeout: Duration) -> Result<(), StreamError> {
+        set_tcp_ack_timeout(self.frames.get_ref().as_ref(), ack_timeout)
     }
 
-    /// The same connection for messages of another type, once the first message
-    /// from the peer has told which it expects.
-    pub fn retyped<U>(self) -> Sender<U> {
+    /// Returns the same connection for messages of another type. Used once the peer's first
+    /// message shows which type it expects.
+    pub fn with_message_type<U>(self) -> Sender<U> {
         Sender {
             frames: self.frames,
             message: PhantomData,
@@ -191,7 +193,8 @@
         self.send_frame(Bytes::from(frame)).await
     }
 
-    /// Sends a message that [`encode`] has encoded, for many receivers at once.
+    /// Sends a message that is already encoded by [`encode`], so that it can be encoded
+    /// once for many receivers.
     pub async fn send_frame(&mut self, frame: Bytes) -> Result<(), StreamError> {
         self.frames.send(frame).await.context(ConnectionSnafu)
     }
--- a/crates/coursestand-transport/tests/streams.rs
+++ b/crates/coursestand-transport/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Kept connections between processes.
+//! Connecting of persistent streams between processes.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Before the first attempt's repeat, after its failure.
-const STARTS_AFTER: Duration = Duration::from_millis(50);
+/// After the first attempt has failed and before the next one.
+const LISTEN_DELAY: Duration = Duration::from_millis(50);
 
 fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -17,7 +17,7 @@
 }
 
 async fn listen_later(address: SocketAddr) -> TcpListener {
-    tokio::time::sleep(STARTS_AFTER).await;
+    tokio::time::sleep(LISTEN_DELAY).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("set");
     socket.bind(address).expect("bound");
@@ -26,7 +26,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_process_that_starts_meanwhile_is_reached_by_the_same_call() {
+async fn connect_reaches_a_process_that_starts_during_the_call() {
     let address = free_address();
     let listening = tokio::spawn(listen_later(address));
     let connected = stream::connect::<u8, u8>(address).await;
@@ -34,27 +34,27 @@
     drop(listening.await.expect("a listener"));
 }
 
-/// Fills the queue of connections that wait to be accepted, so that the next one's
-/// opening packets get no answer, as behind a link that is full.
+/// Fills the listener's accept queue, so that the handshake packets of the next
+/// connection get no answer, as on a saturated link.
 async fn fill_queue(address: SocketAddr) -> Vec<tokio::net::TcpStream> {
-    let mut waiting = Vec::new();
+    let mut queued = Vec::new();
     let limit = Duration::from_millis(100);
     while let Ok(connected) =
         tokio::time::timeout(limit, tokio::net::TcpStream::connect(address)).await
     {
-        waiting.push(connected.expect("a connection"));
+        queued.push(connected.expect("a connection"));
     }
-    waiting
+    queued
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_takes_over_a_second_is_waited_for() {
+async fn connect_waits_for_a_handshake_of_more_than_a_second() {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(free_address()).expect("bound");
     let listener = socket.listen(1).expect("listening");
     let address = listener.local_addr().expect("an address");
-    let waiting = fill_queue(address).await;
+    let queued = fill_queue(address).await;
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         let mut kept_open = Vec::new();
@@ -64,12 +64,12 @@
     });
     let connected = stream::connect::<u8, u8>(address).await;
     expect_that!(connected.is_ok(), eq(true));
-    drop(waiting);
+    drop(queued);
 }
 
 #[gtest]
 #[tokio::test]
-async fn nobody_at_the_address_is_an_error() {
+async fn connect_fails_if_no_process_listens() {
     let connected = stream::connect::<u8, u8>(free_address()).await;
     expect_that!(connected.is_err(), eq(true));
 }
