--- a/crates/coursestand-daemon/src/fleet/catalog_parts.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_parts.rs
@@ -1,8 +1,8 @@
 //! Reassembles a catalog frame from its parts.
 
 use coursestand_transport::TransportError;
+use coursestand_transport::compression::decompress;
 use coursestand_transport::frame::decode;
-use coursestand_transport::packed::unpack;
 
 use crate::fleet::wire::{CatalogPart, ToEdge};
 
@@ -29,7 +29,7 @@
         if self.packed.len() < part.length {
             return Ok(None);
         }
-        let frame = unpack(&std::mem::take(&mut self.packed))?;
+        let frame = decompress(&std::mem::take(&mut self.packed))?;
         decode(&frame).map(Some)
     }
 }
--- a/crates/coursestand-daemon/src/fleet/catalog_updates.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_updates.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use coursestand_catalog::CatalogDelta;
 use coursestand_transport::TransportError;
+use coursestand_transport::compression::compress;
 use coursestand_transport::frame::encode;
-use coursestand_transport::packed::pack;
 use log::info;
 
 use crate::fleet::wire::{CatalogPart, ToEdge};
@@ -71,7 +71,7 @@
         if let Some(compressed) = self.compressed.get() {
             return Ok(compressed.clone());
         }
-        let compressed = Bytes::from(pack(&self.frame)?);
+        let compressed = Bytes::from(compress(&self.frame)?);
         info!(target: LOG, catalog = self.version, items = self.items,
             bytes = self.frame.len(), packed_bytes = compressed.len();
             "a large change is ready for entry daemons");
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -79,7 +79,9 @@
     // The first message determines the type of the messages that are sent on the connection.
     let (mut receiver, sender) = stream::split::<ToControl, ()>(connection)?;
     match receiver.next_within(EDGE_TIMEOUT).await? {
-        ToControl::PeerHello(peer) => serve_peer(peer, receiver, sender.retyped(), context).await,
+        ToControl::PeerHello(peer) => {
+            serve_peer(peer, receiver, sender.with_message_type(), context).await
+        }
         ToControl::EdgeHello {
             record,
             catalog_version,
@@ -97,7 +99,7 @@
                 catalog_version,
                 subscriptions,
                 receiver,
-                sender.retyped(),
+                sender.with_message_type(),
                 context,
             )
             .await
@@ -130,7 +132,7 @@
             }
             Some(reply) = queue.recv() => sender.send(&reply).await?,
             () = tokio::time::sleep_until(last_received_at + PEER_TIMEOUT) => {
-                return Err(StreamError::Silent { limit_ms: PEER_TIMEOUT.as_millis() });
+                return Err(StreamError::ReceiveTimeout { limit_ms: PEER_TIMEOUT.as_millis() });
             }
         }
     }
@@ -225,7 +227,7 @@
     context: &Arc<ConnectionContext>,
 ) -> Result<(), StreamError> {
     let hub = &context.hub;
-    sender.bear_silence(EDGE_TIMEOUT)?;
+    sender.set_ack_timeout(EDGE_TIMEOUT)?;
     if subscriptions.findings {
         sender.send(&ToEdge::Findings(Vec::new())).await?;
     }
@@ -413,7 +415,7 @@
                 }
                 () = tokio::time::sleep_until(last_received_at + EDGE_TIMEOUT) => {
                     let limit_ms = EDGE_TIMEOUT.as_millis();
-                    return Err(StreamError::Silent { limit_ms });
+                    return Err(StreamError::ReceiveTimeout { limit_ms });
                 }
             }
         }
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -248,7 +248,7 @@
             }
             () = tokio::time::sleep_until(last_received_at + PEER_TIMEOUT) => {
                 let limit_ms = PEER_TIMEOUT.as_millis();
-                return Err(StreamError::Silent { limit_ms });
+                return Err(StreamError::ReceiveTimeout { limit_ms });
             }
         }
     }
