--- a/crates/coursestand-daemon/src/fleet/hub/edges.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/edges.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError};
 
 use bytes::Bytes;
-use coursestand_discovery::directory::WITNESS_SILENCE_MS;
+use coursestand_discovery::directory::OBSERVER_TIMEOUT_MS;
 use coursestand_discovery::{EdgeRecord, LinkUse};
 use coursestand_model::{Millis, RegionId, ZoneId};
 use coursestand_transport::frame::encode;
@@ -136,7 +136,9 @@
     /// Another entry daemon reached the one that fell silent.
     pub fn vouch_for_edge(&self, name: &str, incarnation: u64) {
         let now = self.clock.now();
-        self.state().directory.vouch(now, name, incarnation);
+        self.state()
+            .directory
+            .note_reachable(now, name, incarnation);
     }
 
     /// Asks one entry daemon that is heard for each suspect, another one each time.
@@ -175,7 +177,7 @@
         let silent: Vec<SocketAddr> = state
             .peers
             .iter()
-            .filter(|(_, heard_at)| now.saturating_sub(**heard_at) > WITNESS_SILENCE_MS)
+            .filter(|(_, heard_at)| now.saturating_sub(**heard_at) > OBSERVER_TIMEOUT_MS)
             .map(|(peer, _)| *peer)
             .collect();
         if silent.is_empty() {
@@ -183,7 +185,7 @@
         }
         for peer in silent {
             state.peers.remove(&peer);
-            state.directory.drop_witness(peer);
+            state.directory.remove_observer(peer);
         }
         drop(state);
         self.publish_edges();
--- a/crates/coursestand-daemon/src/fleet/hub/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coursestand_discovery::{Directory, Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::{Directory, Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_kernel::MonotonicClock;
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_transport::frame::encode;
@@ -141,7 +141,7 @@
 
     /// A heartbeat came. An order to leave is taken once a majority of the
     /// control processes knows it: every entry daemon follows one of those.
-    pub async fn heartbeat(&self, news: InstanceNews) -> Result<(), NotSpread> {
+    pub async fn heartbeat(&self, news: InstanceUpdate) -> Result<(), NotSpread> {
         let now = self.clock.now();
         let id = news.instance.id.clone();
         let leaves = news.instance.phase != InstancePhase::Ready;
@@ -150,7 +150,11 @@
         if !leaves {
             return Ok(());
         }
-        let known = self.state().instances.get(&id).map(|known| known.news(now));
+        let known = self
+            .state()
+            .instances
+            .get(&id)
+            .map(|known| known.to_update(now));
         match known {
             Some(news) => self.spread_surely(news).await,
             None => Err(NotSpread),
@@ -160,7 +164,11 @@
     /// An incarnation of a back end says that it ends; `born` is its start, if it tells.
     pub async fn deregister(&self, id: &BackendId, born: Option<Millis>) -> Result<(), NotSpread> {
         let now = self.clock.now();
-        let known = self.state().instances.get(id).map(|known| known.news(now));
+        let known = self
+            .state()
+            .instances
+            .get(id)
+            .map(|known| known.to_update(now));
         let mut news = known.unwrap_or_else(|| unknown_instance(id));
         news.instance.born = born.or(news.instance.born);
         news.instance.phase = InstancePhase::Gone;
@@ -169,12 +177,12 @@
     }
 
     /// Takes in news that come from another control process.
-    pub fn take_peer_news(&self, news: Vec<InstanceNews>) {
+    pub fn take_peer_news(&self, news: Vec<InstanceUpdate>) {
         self.merge(self.clock.now(), news);
     }
 
     /// Takes in news that come from a back end, and tells all others.
-    fn take_news(&self, now: Millis, news: Vec<InstanceNews>) {
+    fn take_news(&self, now: Millis, news: Vec<InstanceUpdate>) {
         let changed = self.merge(now, news);
         if let Some(links) = self.links()
             && !changed.is_empty()
@@ -188,21 +196,21 @@
     }
 
     /// Merges news, passes what changed on to entry daemons, and returns it.
-    fn merge(&self, now: Millis, news: Vec<InstanceNews>) -> Vec<InstanceNews> {
+    fn merge(&self, now: Millis, news: Vec<InstanceUpdate>) -> Vec<InstanceUpdate> {
         let mut changed = Vec::new();
         {
             let mut state = self.state();
             for one in news {
                 let ids = state.instances.merge(now, one);
                 let known = ids.iter().filter_map(|id| state.instances.get(id));
-                changed.extend(known.map(|known| known.news(now)));
+                changed.extend(known.map(|known| known.to_update(now)));
             }
         }
         self.pass_on(&changed);
         changed
     }
 
-    fn pass_on(&self, changed: &[InstanceNews]) {
+    fn pass_on(&self, changed: &[InstanceUpdate]) {
         if changed.is_empty() {
             return;
         }
@@ -248,7 +256,7 @@
     }
 
     /// Returns once a majority of the control processes has the news.
-    async fn spread_surely(&self, news: InstanceNews) -> Result<(), NotSpread> {
+    async fn spread_surely(&self, news: InstanceUpdate) -> Result<(), NotSpread> {
         let members = self.controls.borrow().members.clone();
         let Some(links) = self.links() else {
             return Err(NotSpread);
@@ -277,12 +285,12 @@
         let now = self.clock.now();
         let mut state = self.state();
         for id in ids {
-            state.instances.heard(now, id);
+            state.instances.note_remote_contact(now, id);
         }
     }
 
     /// A queue of news for one entry daemon, with all back ends to begin with.
-    pub fn follow(&self, reads: Reads) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceNews>) {
+    pub fn follow(&self, reads: Reads) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceUpdate>) {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let (frames, queue) = mpsc::channel(FOLLOWER_QUEUE);
         let follower = EdgeQueue { frames, reads };
@@ -303,13 +311,13 @@
             .remove(&number);
     }
 
-    fn all_instances(&self) -> Vec<InstanceNews> {
+    fn all_instances(&self) -> Vec<InstanceUpdate> {
         let now = self.clock.now();
         let state = self.state();
         state
             .instances
             .iter()
-            .map(|known| known.news(now))
+            .map(|known| known.to_update(now))
             .collect()
     }
 
@@ -322,7 +330,7 @@
             receipt: None,
         }];
         let state = self.state();
-        for record in state.directory.seen_by(self.own) {
+        for record in state.directory.connected_with(self.own) {
             messages.push(PeerMessage::Edge {
                 record: record.clone(),
                 is_connected: true,
@@ -350,11 +358,11 @@
 
     fn expire_instances(&self, now: Millis) {
         let silence = MISSED_HEARTBEATS * self.heartbeat;
-        let ended: Vec<InstanceNews> = {
+        let ended: Vec<InstanceUpdate> = {
             let mut state = self.state();
             let ids = state.instances.expire(now, silence);
             let known = ids.iter().filter_map(|id| state.instances.get(id));
-            known.map(|known| known.news(now)).collect()
+            known.map(|known| known.to_update(now)).collect()
         };
         self.pass_on(&ended);
     }
@@ -389,7 +397,7 @@
                     "born": known.instance.born,
                     "sequence": known.instance.sequence,
                     "cold_ms": known.cold_until.saturating_sub(now),
-                    "heard_ms_ago": now.saturating_sub(known.heard_at),
+                    "heard_ms_ago": now.saturating_sub(known.last_contact_at),
                 })
             })
             .collect();
@@ -407,8 +415,8 @@
 }
 
 /// A back end that this process never heard of and that ends.
-fn unknown_instance(id: &BackendId) -> InstanceNews {
-    InstanceNews {
+fn unknown_instance(id: &BackendId) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: id.clone(),
             born: None,
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -274,7 +274,7 @@
     async fn run(
         &mut self,
         record: &mut EdgeRecord,
-        instances: Vec<coursestand_discovery::InstanceNews>,
+        instances: Vec<coursestand_discovery::InstanceUpdate>,
         receiver: &mut Receiver<ToControl>,
         sender: &mut Sender<ToEdge>,
     ) -> Result<(), StreamError> {
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coursestand_consensus::{Membership, Message, ReplicaId};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_kernel::Tasks;
 use coursestand_transport::stream::{self, StreamError};
 use log::{debug, info};
@@ -114,7 +114,7 @@
     pub async fn tell_surely(
         &self,
         address: SocketAddr,
-        news: Vec<InstanceNews>,
+        news: Vec<InstanceUpdate>,
         limit: Duration,
     ) -> bool {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -5,7 +5,7 @@
 
 use coursestand_catalog::CatalogDelta;
 use coursestand_coordination::{Command, CommandAnswer};
-use coursestand_discovery::{EdgeRecord, InstanceNews, LinkUse};
+use coursestand_discovery::{EdgeRecord, InstanceUpdate, LinkUse};
 use coursestand_model::{BackendId, Millis};
 use coursestand_routing::rate_limit::{TokenRequest, TokenVerdict};
 use coursestand_routing::{LimitNews, SharedCase, SharedFinding, TrialVerdict};
@@ -99,12 +99,12 @@
 
 impl Starts {
     /// The starts of these back ends.
-    pub fn of(news: &[InstanceNews]) -> Starts {
+    pub fn of(news: &[InstanceUpdate]) -> Starts {
         Starts(news.iter().map(|one| one.instance.born).collect())
     }
 
     /// The news with their starts.
-    pub fn join(self, mut news: Vec<InstanceNews>) -> Vec<InstanceNews> {
+    pub fn join(self, mut news: Vec<InstanceUpdate>) -> Vec<InstanceUpdate> {
         for (one, born) in news.iter_mut().zip(self.0) {
             one.instance.born = born;
         }
@@ -127,7 +127,7 @@
     /// News of back ends; answered with `Taken` when there is a receipt.
     Instances {
         /// The news.
-        news: Vec<InstanceNews>,
+        news: Vec<InstanceUpdate>,
         /// Number of the receipt that the sender waits for.
         receipt: Option<u64>,
         /// When their incarnations started.
@@ -258,7 +258,7 @@
     /// A part of what the entry daemon asked for.
     CatalogPart(CatalogPart),
     /// News of back ends, and when their incarnations started.
-    Instances(Vec<InstanceNews>, Starts),
+    Instances(Vec<InstanceUpdate>, Starts),
     /// How the entry daemons that are connected with the control group changed
     /// since the last such message on this connection; at first there are none.
     Edges(EdgeChange),
--- a/crates/coursestand-daemon/tests/fleet/deployment.rs
+++ b/crates/coursestand-daemon/tests/fleet/deployment.rs
@@ -11,7 +11,7 @@
 use coursestand_catalog::{Patch, RouteKind};
 use coursestand_daemon::fleet::Node;
 use coursestand_dialect::Native;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_lab::items;
 use coursestand_model::fleet::{
     BalanceSettings, FleetBounds, FleetControlSettings, FleetEdgeSettings, FleetSettings,
@@ -320,7 +320,7 @@
         }
     }
 
-    pub async fn heartbeat(&self, host: u8, news: &InstanceNews) -> u16 {
+    pub async fn heartbeat(&self, host: u8, news: &InstanceUpdate) -> u16 {
         let id = &news.instance.id;
         let url = format!("{}/v1/backends/{id}", self.control_url(host));
         let mut body = serde_json::to_value(news).expect("JSON");
@@ -439,8 +439,8 @@
     address: SocketAddr,
     sequence: u64,
     phase: InstancePhase,
-) -> InstanceNews {
-    InstanceNews {
+) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from(id),
             born: None,
--- a/crates/coursestand-daemon/tests/fleet/restarted_backend.rs
+++ b/crates/coursestand-daemon/tests/fleet/restarted_backend.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use coursestand_discovery::{InstanceNews, InstancePhase};
+use coursestand_discovery::{InstancePhase, InstanceUpdate};
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 use coursestand_model::Millis;
 use googletest::prelude::*;
@@ -18,7 +18,12 @@
 /// A heartbeat to control, the news on its way to the daemon, and a request.
 const SERVED_WITHIN: Duration = Duration::from_millis(1_000);
 
-fn said(backend: &ScriptedBackend, life: u64, sequence: u64, phase: InstancePhase) -> InstanceNews {
+fn said(
+    backend: &ScriptedBackend,
+    life: u64,
+    sequence: u64,
+    phase: InstancePhase,
+) -> InstanceUpdate {
     let mut news = heartbeat_of(ID, backend.address(), sequence, phase);
     news.instance.born = Some(STARTED + life * 60_000);
     news
@@ -61,7 +66,7 @@
 
 /// A control process that has just joined refuses orders to leave until it knows the
 /// others.
-async fn take_surely(deployment: &Deployment, host: u8, news: &InstanceNews) {
+async fn take_surely(deployment: &Deployment, host: u8, news: &InstanceUpdate) {
     let started = Instant::now();
     while deployment.heartbeat(host, news).await != 200 {
         assert!(started.elapsed() < WITHIN, "not taken at {host}");
--- a/crates/coursestand-daemon/tests/following/large_change.rs
+++ b/crates/coursestand-daemon/tests/following/large_change.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coursestand_catalog::Patch;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_lab::items;
 use coursestand_model::{BackendId, ServiceId, ZoneId};
 use googletest::prelude::*;
@@ -30,8 +30,8 @@
 /// on their way.
 const ORDER_KNOWN: Duration = Duration::from_millis(500);
 
-fn backend(phase: InstancePhase, sequence: u64) -> InstanceNews {
-    InstanceNews {
+fn backend(phase: InstancePhase, sequence: u64) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
             born: None,
--- a/crates/coursestand-daemon/tests/following/late_requests.rs
+++ b/crates/coursestand-daemon/tests/following/late_requests.rs
@@ -12,7 +12,7 @@
 use coursestand_catalog::{Patch, RouteKind};
 use coursestand_daemon::fleet::edge_service::FleetEdge;
 use coursestand_dialect::Native;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_kernel::{Health, MonotonicClock, Registry, Service};
 use coursestand_lab::items;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
@@ -96,8 +96,8 @@
     }
 }
 
-fn backend_news(address: SocketAddr) -> InstanceNews {
-    InstanceNews {
+fn backend_news(address: SocketAddr) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
             born: None,
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -11,7 +11,7 @@
 use coursestand_daemon::control::shared::LogReach;
 use coursestand_daemon::fleet::catalog_news::{CatalogNews, CatalogTelling, Telling};
 use coursestand_daemon::fleet::wire::{ControlGroup, EdgeChange, Starts, ToControl, ToEdge};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_lab::items;
 use coursestand_transport::frame::{decode, encode};
 use coursestand_transport::stream::{self, Receiver, Sender};
@@ -41,7 +41,7 @@
     script: Arc<Mutex<Script>>,
     applied: Arc<watch::Sender<u64>>,
     /// News of back ends, in their order.
-    news: Arc<watch::Sender<Vec<InstanceNews>>>,
+    news: Arc<watch::Sender<Vec<InstanceUpdate>>>,
     /// Connections accepted up to this number are silent.
     silent_up_to: Arc<AtomicU64>,
     accepted: Arc<AtomicU64>,
@@ -152,7 +152,7 @@
     }
 
     /// It has this news of a back end, and passes it on.
-    pub fn tell_backend(&self, news: InstanceNews) {
+    pub fn tell_backend(&self, news: InstanceUpdate) {
         self.news.send_modify(|known| known.push(news));
     }
 
@@ -172,7 +172,7 @@
 struct Shared {
     script: Arc<Mutex<Script>>,
     applied: watch::Receiver<u64>,
-    news: watch::Receiver<Vec<InstanceNews>>,
+    news: watch::Receiver<Vec<InstanceUpdate>>,
     silent_up_to: Arc<AtomicU64>,
     accepted: Arc<AtomicU64>,
 }
@@ -283,7 +283,10 @@
 }
 
 /// What the connection was not told yet of back ends.
-fn backend_news(news: &mut watch::Receiver<Vec<InstanceNews>>, told: &mut usize) -> Option<ToEdge> {
+fn backend_news(
+    news: &mut watch::Receiver<Vec<InstanceUpdate>>,
+    told: &mut usize,
+) -> Option<ToEdge> {
     let all = news.borrow_and_update();
     let new = all[*told..].to_vec();
     *told = all.len();
--- a/crates/coursestand-daemon/tests/instance_starts.rs
+++ b/crates/coursestand-daemon/tests/instance_starts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use coursestand_daemon::fleet::wire::{Starts, ToEdge};
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_transport::frame::{decode, encode};
 use googletest::prelude::*;
@@ -18,11 +18,11 @@
     Catalog,
     CatalogIsAt,
     CatalogPart,
-    Instances(Vec<InstanceNews>),
+    Instances(Vec<InstanceUpdate>),
 }
 
-fn news(born: Option<Millis>) -> InstanceNews {
-    InstanceNews {
+fn news(born: Option<Millis>) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
             born,
--- a/crates/coursestand-dialect/src/call.rs
+++ b/crates/coursestand-dialect/src/call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use coursestand_catalog::{Catalog, Patch};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_model::{BackendId, Millis, RegionId, ZoneId};
 use coursestand_proxy::HeaderNames;
 use http::{Method, StatusCode, Uri};
@@ -17,7 +17,7 @@
     /// Read all items that stand.
     ReadCatalog,
     /// A back end says that it lives, and what it is.
-    Heartbeat(InstanceNews),
+    Heartbeat(InstanceUpdate),
     /// An incarnation of a back end says that it ends.
     Deregister {
         /// The back end.
--- a/crates/coursestand-dialect/src/native.rs
+++ b/crates/coursestand-dialect/src/native.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use coursestand_catalog::{Catalog, Patch};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_model::{BackendId, Millis, RegionId, ZoneId};
 use coursestand_proxy::HeaderNames;
 use http::{Method, Uri};
@@ -46,7 +46,7 @@
             ("POST", ["v1", "catalog"]) => Call::PatchCatalog(parse_json::<Patch>(body)?),
             ("GET", ["v1", "catalog"]) => Call::ReadCatalog,
             ("POST", ["v1", "backends", _]) => {
-                let mut news = parse_json::<InstanceNews>(body)?;
+                let mut news = parse_json::<InstanceUpdate>(body)?;
                 news.instance.born = parse_json::<Start>(body)?.born;
                 Call::Heartbeat(news)
             }
--- a/crates/coursestand-discovery/src/claims.rs
+++ b/crates/coursestand-discovery/src/claims.rs
@@ -1,200 +1,205 @@
-//! Who has an address when two incarnations of back ends say so.
+//! Resolves which instance has an address that several instances announce.
 //!
-//! Two instances can't share an address, but heartbeats don't tell which of them came
-//! later: one that was delayed may arrive after its sender has crashed and another
-//! incarnation has registered, also at a process that never heard of the sender before.
-//! What the dead can't do is go on giving signs of life. So a newcomer at an address
-//! that another instance holds only claims it, and takes it over once it was heard
-//! again after a while, last when the holder was overdue, and the holder was not heard
-//! meanwhile, nor for about two heartbeats. A crashed back end's successor waits for one
-//! more heartbeat by this; a live back end is not ended for a message that was late,
-//! which no later heartbeat would undo. What could still pass for life are two different
-//! heartbeats of a dead one that come a second apart or more, the second while the living
-//! one is overdue, which then stays silent for two of its own.
+//! Two instances can't share an address, but heartbeats do not show which of them started
+//! later: a delayed heartbeat may arrive after its sender has crashed and another
+//! incarnation has registered, also at a process that has no record of the sender. A
+//! crashed instance sends no further heartbeats, however. So a newcomer at an address that
+//! a live instance holds only claims it. It takes the address over after heartbeats of it
+//! have arrived over some time, the last of them when the holder was overdue, provided that
+//! no heartbeat of the holder arrived in between, nor for about two heartbeat intervals.
+//! The successor of a crashed back end thus waits for one more heartbeat; in return, a
+//! delayed message does not mark a live back end as gone, which no later heartbeat would
+//! undo. One error remains possible: two different heartbeats of a crashed instance that
+//! arrive a second or more apart, the second while the live holder is overdue, if the
+//! holder then stays silent for two heartbeat intervals.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use coursestand_model::{BackendId, Millis};
 
-use crate::instance::{Instance, InstanceNews};
-
-/// Silence of a holder after which it may lose its address, until the deployment's
-/// heartbeat is known: two of one and a half seconds.
-const FIRST_HOLDER_SILENCE_MS: Millis = 3_000;
-/// Part of the time after which silent instances end that makes a holder silent.
-const HOLDER_SILENCE_PART: Millis = 10;
-/// Heartbeats in the silence of a holder. What came before the first of them was due comes
-/// from a time at which the holder may have lived, and proves nothing against it.
-const HEARTBEATS_OF_SILENCE: Millis = 2;
-/// Part of the holder's silence over which a claimant must have been heard: less than
-/// a heartbeat, so that two of them do, and more than between copies of one message.
-const CLAIM_PART: Millis = 3;
-
-/// Who has an address that is claimed.
+use crate::instance::{Instance, InstanceUpdate};
+
+/// Time without a heartbeat after which a holder may lose its address, until the heartbeat
+/// interval of the deployment is known: two intervals of 1.5 s.
+const DEFAULT_HOLDER_TIMEOUT_MS: Millis = 3_000;
+/// The instance timeout divided by this is the holder timeout.
+const HOLDER_TIMEOUT_DIVISOR: Millis = 10;
+/// Heartbeat intervals in the holder timeout. A claimant's heartbeat that arrived before
+/// the holder's first missed one was due does not count: the holder may have been live.
+const HEARTBEATS_IN_HOLDER_TIMEOUT: Millis = 2;
+/// The holder timeout divided by this is the minimum time over which heartbeats of a
+/// claimant must arrive: less than a heartbeat interval, so that two heartbeats suffice,
+/// and more than the time between copies of one message.
+const CLAIM_TIME_DIVISOR: Millis = 3;
+
+/// Occupancy of a claimed address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Holding {
-    /// An instance that was heard last at this time.
-    Held { heard_at: Millis },
-    /// Nobody, since this time.
+pub(crate) enum AddressState {
+    /// A live instance, last heard from at this time, has the address.
+    Held { last_contact_at: Millis },
+    /// No live instance has had the address since this time.
     Free { since: Millis },
 }
 
 #[derive(Clone, Debug)]
 struct Claim {
-    news: InstanceNews,
-    /// When heartbeats of it came here first and last.
-    since: Millis,
-    came_at: Millis,
-    /// When it was heard last, here or by another process.
-    heard_at: Millis,
-    /// Since when other processes hear it, if they do.
-    heard_elsewhere_since: Option<Millis>,
+    update: InstanceUpdate,
+    /// Arrival times of the claimant's first and last heartbeat at this process.
+    first_received_at: Millis,
+    last_received_at: Millis,
+    /// Time of the last contact with the claimant, by this or another process.
+    last_contact_at: Millis,
+    /// First time that another process reported contact with the claimant, if any did.
+    remote_contact_since: Option<Millis>,
 }
 
 impl Claim {
-    fn new(now: Millis, news: InstanceNews) -> Claim {
+    fn new(now: Millis, update: InstanceUpdate) -> Claim {
         Claim {
-            news,
-            since: now,
-            came_at: now,
-            heard_at: now,
-            heard_elsewhere_since: None,
+            update,
+            first_received_at: now,
+            last_received_at: now,
+            last_contact_at: now,
+            remote_contact_since: None,
         }
     }
 
-    /// For how long different heartbeats of it have come here.
-    fn heard_here_for(&self) -> Millis {
-        self.came_at.saturating_sub(self.since)
+    /// Returns the time over which different heartbeats have arrived at this process.
+    fn local_contact_ms(&self) -> Millis {
+        self.last_received_at.saturating_sub(self.first_received_at)
     }
 
-    /// For how long other processes have heard it. One copy of a message that came here
-    /// is heard by another process at one moment, whenever that is.
-    fn heard_elsewhere_for(&self) -> Millis {
-        let since = self.heard_elsewhere_since.unwrap_or(self.heard_at);
-        self.heard_at.saturating_sub(since)
+    /// Returns the time over which other processes have reported contact. A copy of a
+    /// message that arrived here yields a single report, and so a time of 0.
+    fn remote_contact_ms(&self) -> Millis {
+        let since = self.remote_contact_since.unwrap_or(self.last_contact_at);
+        self.last_contact_at.saturating_sub(since)
     }
 }
 
-/// Claims to addresses that others hold.
+/// Claims to addresses that other instances hold.
 #[derive(Clone, Debug)]
 pub(crate) struct Claims {
     claims: HashMap<BackendId, Claim>,
-    holder_silence_ms: Millis,
+    holder_timeout_ms: Millis,
 }
 
 impl Default for Claims {
     fn default() -> Claims {
         Claims {
             claims: HashMap::new(),
-            holder_silence_ms: FIRST_HOLDER_SILENCE_MS,
+            holder_timeout_ms: DEFAULT_HOLDER_TIMEOUT_MS,
         }
     }
 }
 
 impl Claims {
-    /// Whether there are none.
     pub(crate) fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Silent instances end after this time, a fixed number of heartbeats.
-    pub(crate) fn set_silence(&mut self, silence: Millis) {
-        self.holder_silence_ms = silence / HOLDER_SILENCE_PART;
+    /// Sets the time without contact after which instances are gone, a fixed number of
+    /// heartbeat intervals.
+    pub(crate) fn set_instance_timeout(&mut self, instance_timeout: Millis) {
+        self.holder_timeout_ms = instance_timeout / HOLDER_TIMEOUT_DIVISOR;
     }
 
-    /// A newcomer says that it is at an address that is held.
-    pub(crate) fn note(&mut self, now: Millis, news: InstanceNews) {
-        let id = news.instance.id.clone();
+    /// Adds or refreshes the claim of a newcomer that announces a held address.
+    pub(crate) fn record(&mut self, now: Millis, update: InstanceUpdate) {
+        let id = update.instance.id.clone();
         let Some(claim) = self.claims.get_mut(&id) else {
-            self.claims.insert(id, Claim::new(now, news));
+            self.claims.insert(id, Claim::new(now, update));
             return;
         };
-        if claim.news.instance.starts_after(&news.instance) {
+        if claim.update.instance.starts_after(&update.instance) {
             return;
         }
-        if news.instance.starts_after(&claim.news.instance) {
-            *claim = Claim::new(now, news);
+        if update.instance.starts_after(&claim.update.instance) {
+            *claim = Claim::new(now, update);
             return;
         }
-        // A copy of what was heard before proves nothing.
-        if news.instance.sequence > claim.news.instance.sequence {
-            claim.came_at = now;
-            claim.heard_at = now;
-            claim.news = news;
+        // A copy of an earlier heartbeat does not show that the claimant is live.
+        if update.instance.sequence > claim.update.instance.sequence {
+            claim.last_received_at = now;
+            claim.last_contact_at = now;
+            claim.update = update;
         }
     }
 
-    /// Another process heard a claimant. That keeps the claim and proves nothing
-    /// against a holder: copies of one message may come to several processes.
-    pub(crate) fn heard(&mut self, now: Millis, id: &BackendId) {
+    /// Records that another process had contact with a claimant. That keeps the claim, but
+    /// does not count against a live holder: copies of one message may reach several
+    /// processes.
+    pub(crate) fn note_remote_contact(&mut self, now: Millis, id: &BackendId) {
         if let Some(claim) = self.claims.get_mut(id) {
-            claim.heard_at = now;
-            claim.heard_elsewhere_since.get_or_insert(now);
+            claim.last_contact_at = now;
+            claim.remote_contact_since.get_or_insert(now);
         }
     }
 
-    /// A claimant that is known otherwise now, or that leaves; not when an incarnation
-    /// before it is.
+    /// Removes the claim of an instance that is in the table or is leaving, unless the
+    /// claim is of a later incarnation.
     pub(crate) fn remove(&mut self, instance: &Instance) {
         let id = &instance.id;
         let claim = self.claims.get(id);
-        if claim.is_some_and(|claim| !claim.news.instance.starts_after(instance)) {
+        if claim.is_some_and(|claim| !claim.update.instance.starts_after(instance)) {
             self.claims.remove(id);
         }
     }
 
-    /// The holder of an address was heard: claims to it begin anew.
-    pub(crate) fn refute(&mut self, address: SocketAddr) {
+    /// Removes all claims to an address whose holder was heard from; claimants start over.
+    pub(crate) fn reject_claims_to(&mut self, address: SocketAddr) {
         self.claims
-            .retain(|_, claim| claim.news.instance.address != address);
+            .retain(|_, claim| claim.update.instance.address != address);
     }
 
-    /// Takes out the claimants that have proved to live on; where the address has
-    /// become free, it is enough that others heard them for two heartbeats.
+    /// Removes and returns the claimants that are shown to be live. For a free address,
+    /// contact of other processes over two heartbeat intervals suffices.
     ///
-    /// An address that has just become free may have its successor already: a process that
-    /// admits one tells first who ended, then who came. Two heartbeats of an instance long
-    /// dead, a second apart, were taken for life between the two.
-    pub(crate) fn settle(
+    /// An address that has just become free may have a successor already: a process that
+    /// admits one reports first which instance is gone, then the successor. Without a
+    /// minimum free time, two heartbeats of a long crashed instance that arrive a second
+    /// apart would get it admitted between these two reports.
+    pub(crate) fn take_proven(
         &mut self,
         now: Millis,
-        holding: impl Fn(SocketAddr) -> Holding,
-    ) -> Vec<InstanceNews> {
+        address_state: impl Fn(SocketAddr) -> AddressState,
+    ) -> Vec<InstanceUpdate> {
         self.claims
-            .retain(|_, claim| now.saturating_sub(claim.heard_at) <= self.holder_silence_ms);
-        let least_ms = self.holder_silence_ms / CLAIM_PART;
-        let proved = |claim: &Claim| {
-            let was_heard_here = claim.heard_here_for() >= least_ms;
-            match holding(claim.news.instance.address) {
-                Holding::Held { heard_at } => {
-                    let silent_ms = now.saturating_sub(heard_at);
-                    let overdue_at = heard_at + self.holder_silence_ms / HEARTBEATS_OF_SILENCE;
-                    silent_ms >= self.holder_silence_ms
-                        && was_heard_here
-                        && claim.came_at >= overdue_at
+            .retain(|_, claim| now.saturating_sub(claim.last_contact_at) <= self.holder_timeout_ms);
+        let min_contact_ms = self.holder_timeout_ms / CLAIM_TIME_DIVISOR;
+        let is_proven = |claim: &Claim| {
+            let has_local_contact = claim.local_contact_ms() >= min_contact_ms;
+            match address_state(claim.update.instance.address) {
+                AddressState::Held { last_contact_at } => {
+                    let silent_ms = now.saturating_sub(last_contact_at);
+                    let overdue_at =
+                        last_contact_at + self.holder_timeout_ms / HEARTBEATS_IN_HOLDER_TIMEOUT;
+                    silent_ms >= self.holder_timeout_ms
+                        && has_local_contact
+                        && claim.last_received_at >= overdue_at
                 }
-                Holding::Free { since } => {
-                    let was_heard_elsewhere = claim.heard_elsewhere_for() >= self.holder_silence_ms;
+                AddressState::Free { since } => {
+                    let has_remote_contact = claim.remote_contact_ms() >= self.holder_timeout_ms;
                     let free_ms = now.saturating_sub(since);
-                    free_ms >= least_ms && (was_heard_here || was_heard_elsewhere)
+                    free_ms >= min_contact_ms && (has_local_contact || has_remote_contact)
                 }
             }
         };
         let mut admitted: Vec<Claim> = self
             .claims
             .values()
-            .filter(|claim| proved(claim))
+            .filter(|claim| is_proven(claim))
             .cloned()
             .collect();
-        // Of several at one address, the one that was heard last.
-        admitted.sort_by_key(|claim| claim.heard_at);
-        let by_address: HashMap<SocketAddr, InstanceNews> = admitted
+        // Of several claimants of one address, the one with the latest contact wins.
+        admitted.sort_by_key(|claim| claim.last_contact_at);
+        let by_address: HashMap<SocketAddr, InstanceUpdate> = admitted
             .into_iter()
-            .map(|claim| (claim.news.instance.address, claim.news))
+            .map(|claim| (claim.update.instance.address, claim.update))
             .collect();
-        for news in by_address.values() {
-            self.claims.remove(&news.instance.id);
+        for update in by_address.values() {
+            self.claims.remove(&update.instance.id);
         }
         by_address.into_values().collect()
     }
--- a/crates/coursestand-discovery/src/directory.rs
+++ b/crates/coursestand-discovery/src/directory.rs
@@ -1,4 +1,4 @@
-//! The entry daemons, and which of them a client is told to use.
+//! Directory of entry daemons, and the choice of those that a look-up returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,218 +6,221 @@
 use coursestand_model::{Millis, RegionId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Whether an entry daemon takes requests.
+/// Whether an entry daemon accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EdgePhase {
-    /// Has no catalog yet.
+    /// Waits for its first catalog.
     Starting,
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has; look-ups must not name it.
+    /// Finishes its requests in flight; look-ups must not return it.
     Draining,
 }
 
-/// What an entry daemon says of itself.
+/// An entry daemon's announcement of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeRecord {
-    /// Its name.
+    /// Name of the entry daemon.
     pub name: String,
-    /// Which run of it this is: a number drawn at its start.
+    /// Random number that identifies this run of the daemon, drawn at its start.
     pub incarnation: u64,
-    /// Where callers reach it.
+    /// Address of its caller interface.
     pub address: SocketAddr,
-    /// Where its admin interface tells whether it is ready.
+    /// Address of its admin interface, which reports readiness.
     pub admin_address: SocketAddr,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of that zone.
     pub region: RegionId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub phase: EdgePhase,
 }
 
-/// Part of its link's speed that the requests which reach an entry daemon need, in
-/// percent: more than 100 when it refuses some for want of room.
+/// Utilization of an entry daemon's link in percent: the bandwidth that its incoming
+/// requests need over that of the link. More than 100 when it rejects requests because the
+/// link is at capacity.
 pub type LinkUse = u8;
 
-/// Up to this use nobody waits for the link, and evening out gains nothing.
-const UNCROWDED_LINK: f64 = 35.0;
-/// Part of the excess over the mean that one look-up takes away. Clients ask about
-/// once a second and the use is known a second or two late: more would overshoot.
-const EVENING_GAIN: f64 = 0.5;
+/// Utilization in percent up to which requests do not queue for the link, so that balancing
+/// has no benefit.
+const MIN_BALANCED_LINK_USE: f64 = 35.0;
+/// Fraction of the excess over the mean that one look-up corrects. Clients look up about
+/// once a second and the utilization is known 1 s to 2 s late: a higher gain overshoots.
+const BALANCING_GAIN: f64 = 0.5;
 
-/// A control process that vouches for an entry daemon.
-pub type Witness = SocketAddr;
+/// A control process that reports on its connections with entry daemons.
+pub type Observer = SocketAddr;
 
-/// One run of an entry daemon. Runs are told apart by a random number: the time
-/// of day may jump back between two starts, so it can't order them.
-type Run = (String, u64);
+/// Name and incarnation of an entry daemon. Incarnations are random numbers: the time of
+/// day may jump back between two starts, so it can't order them.
+type EdgeIncarnation = (String, u64);
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: EdgeRecord,
-    /// How much of its link it uses, as far as it is known here.
+    /// Utilization of its link, if known.
     link_use: Option<LinkUse>,
     /// Control processes that are connected with it.
-    witnesses: BTreeSet<Witness>,
+    observers: BTreeSet<Observer>,
 }
 
-/// All entry daemons. A run of one counts as alive while any control process
-/// that is itself alive is connected with it.
+/// All entry daemons. An incarnation counts as live while any live control process is
+/// connected with it.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    runs: BTreeMap<Run, Entry>,
-    /// Runs that fell silent and may only be cut off from control.
-    suspects: BTreeMap<Run, Suspect>,
+    edges: BTreeMap<EdgeIncarnation, Entry>,
+    /// Disconnected incarnations that may still serve requests.
+    suspects: BTreeMap<EdgeIncarnation, Suspect>,
 }
 
-/// A run that fell silent, with what other entry daemons say of it.
+/// An incarnation without a connection to control, and the result of probes by other
+/// entry daemons.
 #[derive(Clone, Debug)]
 struct Suspect {
     record: EdgeRecord,
     since: Millis,
-    /// Until when it is named, because another one reached it.
-    vouched_until: Millis,
+    /// End of the time for which look-ups return it because a probe succeeded.
+    reachable_until: Millis,
 }
 
-/// A suspect is named for this long after another entry daemon found it ready.
-const VOUCH_MS: Millis = 2_500;
-/// A suspect that nobody vouches for any more is given up after this time.
-const SUSPICION_MS: Millis = 20_000;
+/// Look-ups return a suspect for this long after another entry daemon found it ready.
+const PROBE_VALIDITY_MS: Millis = 2_500;
+/// A suspect without a successful probe is removed after this time.
+const SUSPECT_TIMEOUT_MS: Millis = 20_000;
 
 impl Directory {
-    /// `witness` is connected with this run of the daemon, and with no other run
-    /// of it any more. Returns whether that is news.
-    pub fn connect(&mut self, witness: Witness, record: &EdgeRecord) -> bool {
-        let run = (record.name.clone(), record.incarnation);
-        for (other, entry) in &mut self.runs {
-            if other.0 == run.0 && *other != run {
-                entry.witnesses.remove(&witness);
+    /// Records that `observer` is connected with this incarnation of the daemon, and with
+    /// no other of the same name. Returns whether anything changed.
+    pub fn connect(&mut self, observer: Observer, record: &EdgeRecord) -> bool {
+        let incarnation = (record.name.clone(), record.incarnation);
+        for (other, entry) in &mut self.edges {
+            if other.0 == incarnation.0 && *other != incarnation {
+                entry.observers.remove(&observer);
             }
         }
-        self.runs.retain(|_, entry| !entry.witnesses.is_empty());
-        self.suspects.retain(|other, _| other.0 != run.0);
-        let entry = self.runs.entry(run).or_insert_with(|| Entry {
+        self.edges.retain(|_, entry| !entry.observers.is_empty());
+        self.suspects.retain(|other, _| other.0 != incarnation.0);
+        let entry = self.edges.entry(incarnation).or_insert_with(|| Entry {
             record: record.clone(),
             link_use: None,
-            witnesses: BTreeSet::new(),
+            observers: BTreeSet::new(),
         });
-        let is_new_witness = entry.witnesses.insert(witness);
-        // Within one run the phase only moves forward.
+        let is_new_observer = entry.observers.insert(observer);
+        // The phase of an incarnation only advances.
         let is_new_phase = record.phase > entry.record.phase;
         if is_new_phase {
             entry.record = record.clone();
         }
-        is_new_witness || is_new_phase
+        is_new_observer || is_new_phase
     }
 
-    /// `witness` lost its connection with that run of the daemon. Returns
-    /// whether that is news.
-    pub fn disconnect(&mut self, witness: Witness, name: &str, incarnation: u64) -> bool {
-        let run = (name.to_owned(), incarnation);
-        let Some(entry) = self.runs.get_mut(&run) else {
+    /// Records that `observer` lost its connection with that incarnation of the daemon.
+    /// Returns whether anything changed.
+    pub fn disconnect(&mut self, observer: Observer, name: &str, incarnation: u64) -> bool {
+        let edge = (name.to_owned(), incarnation);
+        let Some(entry) = self.edges.get_mut(&edge) else {
             return false;
         };
-        let is_news = entry.witnesses.remove(&witness);
-        if entry.witnesses.is_empty() {
-            self.runs.remove(&run);
+        let is_changed = entry.observers.remove(&observer);
+        if entry.observers.is_empty() {
+            self.edges.remove(&edge);
         }
-        is_news
+        is_changed
     }
 
-    /// A ready run fell silent. It may be dead, or cut off from control and serving
-    /// on: other entry daemons are to find out (indirect probes, after SWIM by Das,
-    /// Gupta and Motivala, 2002).
+    /// Records that a ready incarnation lost its connections. It may have crashed, or may
+    /// be cut off from control and still serve requests: other entry daemons probe it
+    /// (indirect probes, after SWIM by Das, Gupta and Motivala, 2002).
     pub fn suspect(&mut self, now: Millis, record: &EdgeRecord) {
         if record.phase != EdgePhase::Ready {
             return;
         }
-        let run = (record.name.clone(), record.incarnation);
-        self.suspects.entry(run).or_insert_with(|| Suspect {
+        let incarnation = (record.name.clone(), record.incarnation);
+        self.suspects.entry(incarnation).or_insert_with(|| Suspect {
             record: record.clone(),
             since: now,
-            vouched_until: now,
+            reachable_until: now,
         });
     }
 
-    /// Another entry daemon found the suspect ready.
-    pub fn vouch(&mut self, now: Millis, name: &str, incarnation: u64) {
-        let run = (name.to_owned(), incarnation);
-        if let Some(suspect) = self.suspects.get_mut(&run) {
-            suspect.vouched_until = now + VOUCH_MS;
+    /// Records that another entry daemon found the suspect ready.
+    pub fn note_reachable(&mut self, now: Millis, name: &str, incarnation: u64) {
+        let edge = (name.to_owned(), incarnation);
+        if let Some(suspect) = self.suspects.get_mut(&edge) {
+            suspect.reachable_until = now + PROBE_VALIDITY_MS;
         }
     }
 
-    /// Suspects that want a probe, less those that were given up.
+    /// Removes suspects that timed out and returns the others, which are to be probed.
     pub fn suspects(&mut self, now: Millis) -> Vec<EdgeRecord> {
         self.suspects.retain(|_, suspect| {
-            let last = suspect.vouched_until.max(suspect.since);
-            now < last + SUSPICION_MS
+            let last = suspect.reachable_until.max(suspect.since);
+            now < last + SUSPECT_TIMEOUT_MS
         });
         let suspects = self.suspects.values();
         suspects.map(|suspect| suspect.record.clone()).collect()
     }
 
-    /// `witness` is no longer heard: what it said counts no more.
-    pub fn drop_witness(&mut self, witness: Witness) {
-        self.runs.retain(|_, entry| {
-            entry.witnesses.remove(&witness);
-            !entry.witnesses.is_empty()
+    /// Removes all connections that `observer` reported, because it is silent.
+    pub fn remove_observer(&mut self, observer: Observer) {
+        self.edges.retain(|_, entry| {
+            entry.observers.remove(&observer);
+            !entry.observers.is_empty()
         });
     }
 
-    /// Runs that some live control process is connected with.
+    /// Returns the incarnations that any live control process is connected with.
     pub fn connected(&self) -> impl Iterator<Item = &EdgeRecord> {
-        self.runs.values().map(|entry| &entry.record)
+        self.edges.values().map(|entry| &entry.record)
     }
 
-    /// Runs that `witness` is connected with.
-    pub fn seen_by(&self, witness: Witness) -> impl Iterator<Item = &EdgeRecord> {
-        self.runs
+    /// Returns the incarnations that `observer` is connected with.
+    pub fn connected_with(&self, observer: Observer) -> impl Iterator<Item = &EdgeRecord> {
+        self.edges
             .values()
-            .filter(move |entry| entry.witnesses.contains(&witness))
+            .filter(move |entry| entry.observers.contains(&observer))
             .map(|entry| &entry.record)
     }
 
-    /// That run of a daemon uses this much of its link.
+    /// Records the link utilization of an incarnation of a daemon.
     pub fn note_link_use(&mut self, name: &str, incarnation: u64, link_use: LinkUse) {
-        let run = (name.to_owned(), incarnation);
-        if let Some(entry) = self.runs.get_mut(&run) {
+        let edge = (name.to_owned(), incarnation);
+        if let Some(entry) = self.edges.get_mut(&edge) {
             entry.link_use = Some(link_use);
         }
     }
 
-    /// Addresses for a client in `zone` of `region`: the ready daemons of its
-    /// region, those of its zone first; when there are none, all ready ones. Those
-    /// whose links are used more than the others' are left out of some answers;
-    /// `draw` gives numbers in `0.0..1.0` by chance.
+    /// Returns at most `max_answers` addresses for a client in `zone` of `region`: the ready
+    /// daemons of its region, those of its zone first; if there are none, all ready ones.
+    /// Daemons whose link utilization is above the mean are left out of some answers.
+    /// `draw` returns random numbers in `0.0..1.0`.
     pub fn resolve(
         &self,
         now: Millis,
         region: &RegionId,
         zone: &ZoneId,
-        most: usize,
+        max_answers: usize,
         mut draw: impl FnMut() -> f64,
     ) -> Vec<SocketAddr> {
         let ready = self.ready(now);
-        let mut near: Vec<Candidate<'_>> = ready
+        let mut nearest: Vec<Candidate<'_>> = ready
             .iter()
             .copied()
             .filter(|candidate| candidate.record.region == *region)
             .collect();
-        if near.is_empty() {
-            near = ready;
+        if nearest.is_empty() {
+            nearest = ready;
         }
-        near.sort_by_key(|candidate| candidate.record.zone != *zone);
-        let mean = mean_link_use(&near);
+        nearest.sort_by_key(|candidate| candidate.record.zone != *zone);
+        let mean = mean_link_use(&nearest);
         let mut addresses: Vec<SocketAddr> = Vec::new();
         let mut left_out: Vec<SocketAddr> = Vec::new();
-        for candidate in near {
+        for candidate in nearest {
             let address = candidate.record.address;
-            if addresses.contains(&address) || addresses.len() >= most {
+            if addresses.contains(&address) || addresses.len() >= max_answers {
                 continue;
             }
-            if draw() < candidate.excess(mean) {
+            if draw() < candidate.skip_probability(mean) {
                 left_out.push(address);
             } else {
                 addresses.push(address);
@@ -229,27 +232,27 @@
         addresses
     }
 
-    /// Daemons that take requests: those that control is connected with, and
-    /// suspects that others vouch for.
+    /// Returns the daemons that accept requests: those connected with control, and suspects
+    /// that other daemons reach.
     fn ready(&self, now: Millis) -> Vec<Candidate<'_>> {
-        let connected = self.runs.values().map(|entry| Candidate {
+        let connected = self.edges.values().map(|entry| Candidate {
             record: &entry.record,
             link_use: entry.link_use,
         });
-        let vouched = self.suspects.values().filter_map(|suspect| {
-            (now < suspect.vouched_until).then_some(Candidate {
+        let reachable = self.suspects.values().filter_map(|suspect| {
+            (now < suspect.reachable_until).then_some(Candidate {
                 record: &suspect.record,
                 link_use: None,
             })
         });
         connected
-            .chain(vouched)
+            .chain(reachable)
             .filter(|candidate| candidate.record.phase == EdgePhase::Ready)
             .collect()
     }
 }
 
-/// A daemon that a look-up may name.
+/// An entry daemon that a look-up may return.
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     record: &'a EdgeRecord,
@@ -257,19 +260,19 @@
 }
 
 impl Candidate<'_> {
-    /// Part of the answers that leave this daemon out, so that the use of the
-    /// links evens out.
-    fn excess(&self, mean: f64) -> f64 {
+    /// Returns the fraction of answers that leave this daemon out, so that link utilization
+    /// is balanced.
+    fn skip_probability(&self, mean: f64) -> f64 {
         match self.link_use.map(f64::from) {
-            Some(link_use) if link_use > mean.max(UNCROWDED_LINK) => {
-                EVENING_GAIN * (link_use - mean) / link_use
+            Some(link_use) if link_use > mean.max(MIN_BALANCED_LINK_USE) => {
+                BALANCING_GAIN * (link_use - mean) / link_use
             }
             _ => 0.0,
         }
     }
 }
 
-/// The mean of those whose use is known.
+/// Returns the mean link utilization of the candidates for which it is known.
 fn mean_link_use(candidates: &[Candidate<'_>]) -> f64 {
     let known: Vec<f64> = candidates
         .iter()
@@ -278,5 +281,5 @@
     known.iter().sum::<f64>() / known.len().max(1) as f64
 }
 
-/// Time after which a silent control process vouches for nobody.
-pub const WITNESS_SILENCE_MS: Millis = 3_000;
+/// Time after which the connections that a silent control process reported are removed.
+pub const OBSERVER_TIMEOUT_MS: Millis = 3_000;
--- a/crates/coursestand-discovery/src/instance.rs
+++ b/crates/coursestand-discovery/src/instance.rs
@@ -1,60 +1,61 @@
-//! A back end as it tells of itself.
+//! Back ends as they announce themselves.
 
 use std::net::SocketAddr;
 
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Where a back end is in its life. It only moves forward.
+/// Lifecycle phase of a back end. It only advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum InstancePhase {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has and takes no new requests.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// Has ended.
+    /// Has stopped or crashed.
     Gone,
 }
 
-/// What a back end says of itself. It may start again under its identity: each start is
-/// another incarnation, which knows nothing of the one before.
+/// A back end's announcement of itself. A back end may restart under its identity: each
+/// start is a new incarnation, which has no state of the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its identity.
+    /// Identity of the back end.
     pub id: BackendId,
-    /// When this incarnation started, in milliseconds since the Unix epoch by the back
-    /// end's own clock; none where its writer doesn't tell. Not encoded here: messages
-    /// between processes carry it beside, where processes that don't know of it leave it.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch by the back
+    /// end's own clock; `None` if the sender does not report it. Not encoded with the other
+    /// fields: messages between processes carry it separately, where software versions that
+    /// do not know of it ignore it.
     #[serde(skip)]
     pub born: Option<Millis>,
-    /// The service that it implements.
+    /// Service that the back end implements.
     pub service: ServiceId,
-    /// Where it is reached.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// Requests that it works on at the same time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Version of its software.
+    /// Software version.
     pub software: String,
-    /// Number of the heartbeat that said so; a later one of the same incarnation has a
-    /// higher number.
+    /// Sequence number of the heartbeat with these facts; it increases within an
+    /// incarnation.
     pub sequence: u64,
-    /// Where it is in its life.
+    /// Lifecycle phase.
     pub phase: InstancePhase,
 }
 
 /// One incarnation of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// The back end.
+    /// Identity of the back end.
     pub id: BackendId,
-    /// When it started, see [`Instance::born`].
+    /// Start time, see [`Instance::born`].
     pub born: Option<Millis>,
 }
 
 impl Instance {
-    /// The incarnation that says so.
+    /// Returns the incarnation that this announcement is of.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
@@ -62,26 +63,26 @@
         }
     }
 
-    /// Whether this is a later incarnation of the same back end than `other`. What is told
-    /// without a start is taken to be of the incarnation that is known.
+    /// Returns whether this is a later incarnation of the same back end than `other`. An
+    /// announcement without a start time counts as one of the known incarnation.
     pub fn starts_after(&self, other: &Instance) -> bool {
-        let births = self.born.zip(other.born);
-        births.is_some_and(|(own, others)| own > others)
+        let start_times = self.born.zip(other.born);
+        start_times.is_some_and(|(start, other_start)| start > other_start)
     }
 
-    /// Whether `incarnation` may be the one that says so.
+    /// Returns whether this announcement may be of `incarnation`.
     pub fn is_of(&self, incarnation: &Incarnation) -> bool {
-        let births = self.born.zip(incarnation.born);
-        self.id == incarnation.id && births.is_none_or(|(own, other)| own == other)
+        let start_times = self.born.zip(incarnation.born);
+        self.id == incarnation.id && start_times.is_none_or(|(start, other)| start == other)
     }
 }
 
-/// An instance on its way between processes. Clocks differ between processes,
-/// so the cold time is what is left of it.
+/// Message with the state of an instance, sent between processes. Clocks differ between
+/// processes, so it carries the remaining cold time instead of its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InstanceNews {
+pub struct InstanceUpdate {
     /// The instance.
     pub instance: Instance,
-    /// How much longer it is cold, in milliseconds.
+    /// Remaining time for which the instance is cold, in milliseconds.
     pub cold_ms: Millis,
 }
--- a/crates/coursestand-discovery/src/lib.rs
+++ b/crates/coursestand-discovery/src/lib.rs
@@ -1,10 +1,9 @@
-//! Which back ends and entry daemons there are, from what they say of
-//! themselves. Free of I/O.
+//! Discovery of back ends and entry daemons from their own announcements. No I/O.
 //!
-//! This is soft state: it is merged, never agreed upon, so that it goes on
-//! while the control group has no leader. Each record only moves forward: a back end by
-//! the start of its incarnation and then by its sequence, and within an incarnation its
-//! phase never turns back.
+//! This is soft state: it is merged rather than agreed upon by consensus, so that discovery
+//! continues while the control group has no leader. Each record only advances: a back end's
+//! by the start time of its incarnation and then by its sequence number, and within an
+//! incarnation the phase never goes back.
 
 mod claims;
 pub mod directory;
@@ -12,5 +11,5 @@
 pub mod table;
 
 pub use directory::{Directory, EdgePhase, EdgeRecord, LinkUse};
-pub use instance::{Incarnation, Instance, InstanceNews, InstancePhase};
+pub use instance::{Incarnation, Instance, InstancePhase, InstanceUpdate};
 pub use table::InstanceTable;
--- a/crates/coursestand-discovery/tests/directory.rs
+++ b/crates/coursestand-discovery/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which entry daemons look-ups name.
+//! Entry daemons that look-ups return.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 const SECOND: u8 = 102;
 
 #[gtest]
-fn near_ones_come_first_and_other_regions_only_in_need() {
+fn daemons_of_the_zone_come_first_and_other_regions_only_if_the_region_has_none() {
     let mut directory = Directory::default();
     for (host, zone) in [(1, "a-1"), (2, "a-2"), (3, "b-1")] {
         directory.connect(address(FIRST), &edge(host, 1, zone, EdgePhase::Ready));
@@ -47,19 +47,19 @@
 }
 
 #[gtest]
-fn a_daemon_stays_named_while_one_live_witness_is_connected() {
+fn a_daemon_is_returned_while_a_live_control_process_is_connected() {
     let mut directory = Directory::default();
     let ready = edge(1, 1, "a-1", EdgePhase::Ready);
     directory.connect(address(FIRST), &ready);
     directory.connect(address(SECOND), &ready);
     directory.disconnect(address(FIRST), "edge-1", 1);
     expect_that!(resolve(&directory, "a-1"), len(eq(1)));
-    directory.drop_witness(address(SECOND));
+    directory.remove_observer(address(SECOND));
     expect_that!(resolve(&directory, "a-1"), is_empty());
 }
 
 #[gtest]
-fn leaving_is_not_taken_back_by_late_news() {
+fn a_late_update_does_not_make_a_draining_daemon_ready() {
     let mut directory = Directory::default();
     directory.connect(address(FIRST), &edge(1, 1, "a-1", EdgePhase::Draining));
     directory.connect(address(SECOND), &edge(1, 1, "a-1", EdgePhase::Ready));
@@ -67,23 +67,24 @@
 }
 
 #[gtest]
-fn the_next_run_replaces_the_one_before_whatever_its_number() {
+fn a_new_incarnation_replaces_the_previous_one_whatever_its_number() {
     let mut directory = Directory::default();
     directory.connect(address(FIRST), &edge(1, 9, "a-1", EdgePhase::Draining));
     directory.connect(address(FIRST), &edge(1, 2, "a-1", EdgePhase::Ready));
     expect_that!(resolve(&directory, "a-1"), len(eq(1)));
-    // The end of the earlier run's connection comes after the next one.
+    // The previous incarnation's connection is lost after the new one connects.
     directory.disconnect(address(FIRST), "edge-1", 9);
     expect_that!(resolve(&directory, "a-1"), len(eq(1)));
 }
 
-/// Parts of 1,000 look-ups in which each of the daemons 1 to `count` is named.
-fn named(directory: &Directory, count: u8) -> Vec<f64> {
+/// Returns for each of the daemons 1 to `count` the fraction of 1,000 look-ups that return
+/// it.
+fn returned_fractions(directory: &Directory, count: u8) -> Vec<f64> {
     const LOOK_UPS: usize = 1_000;
     let mut times = vec![0; usize::from(count)];
     let mut number = 0_u32;
     for _ in 0..LOOK_UPS {
-        // Evenly spread numbers in no simple order.
+        // A low-discrepancy sequence (multiples of the golden ratio).
         let draw = || {
             number = number.wrapping_add(2_654_435_769);
             f64::from(number) / f64::from(u32::MAX)
@@ -110,22 +111,22 @@
 }
 
 #[gtest]
-fn daemons_with_crowded_links_are_named_less_often() {
+fn daemons_with_busy_links_are_returned_less_often() {
     let directory = directory_with_use(&[90, 60, 50, 40]);
-    let named = named(&directory, 4);
-    // The mean is 60: half of the excess of the first one is a sixth.
-    expect_that!(named[0], near(1.0 - 0.5 * 30.0 / 90.0, 0.01));
-    expect_that!(named[1..], each(eq(&1.0)));
+    let fractions = returned_fractions(&directory, 4);
+    // The mean is 60: half of the first daemon's excess is a sixth of its utilization.
+    expect_that!(fractions[0], near(1.0 - 0.5 * 30.0 / 90.0, 0.01));
+    expect_that!(fractions[1..], each(eq(&1.0)));
 }
 
 #[gtest]
-fn links_that_nobody_waits_for_are_left_alone() {
+fn links_below_the_balancing_threshold_are_not_balanced() {
     let directory = directory_with_use(&[34, 2, 2, 2]);
-    expect_that!(named(&directory, 4), each(eq(&1.0)));
+    expect_that!(returned_fractions(&directory, 4), each(eq(&1.0)));
 }
 
 #[gtest]
-fn a_look_up_is_never_empty_for_crowded_links() {
+fn busy_links_never_make_a_look_up_empty() {
     let directory = directory_with_use(&[90, 20]);
     let ready = directory.resolve(0, &RegionId::from("a"), &ZoneId::from("a-1"), 1, || 0.0);
     expect_that!(ready, len(eq(1)));
@@ -134,10 +135,10 @@
     expect_that!(resolve(&alone, "a-1"), elements_are![eq(&address(1))]);
 }
 
-/// A model of clients that ask every second and keep their connections while the
-/// daemon is named: the use evens out, and does not swing.
+/// A model of clients that look up every second and keep their connections while their
+/// daemon is returned: link utilization becomes balanced and does not oscillate.
 #[gtest]
-fn uneven_use_evens_out_without_swinging() {
+fn uneven_link_use_is_balanced_without_oscillation() {
     const DAEMONS: u8 = 24;
     const CLIENTS: usize = 300;
     let mut number = 7_u32;
@@ -155,12 +156,12 @@
         for daemon in &chosen {
             counts[usize::from(*daemon) - 1] += 1.0;
         }
-        let most = counts.iter().copied().fold(0.0, f64::max);
-        spreads.push(most * f64::from(DAEMONS) / CLIENTS as f64);
+        let max = counts.iter().copied().fold(0.0, f64::max);
+        spreads.push(max * f64::from(DAEMONS) / CLIENTS as f64);
         for (smoothed, count) in smoothed.iter_mut().zip(&counts) {
             *smoothed += (count - *smoothed) * 0.5;
         }
-        // 12.5 clients of a daemon are three fifths of its link.
+        // The mean of 12.5 clients per daemon uses three fifths of its link.
         let link_use: Vec<u8> = smoothed.iter().map(|count| (count * 4.8) as u8).collect();
         let directory = directory_with_use(&link_use);
         for daemon in &mut chosen {
@@ -177,7 +178,7 @@
     expect_that!(spreads[15..], each(le(&1.6)));
 }
 
-fn named_at(directory: &Directory, now: u64) -> Vec<SocketAddr> {
+fn resolve_at(directory: &Directory, now: u64) -> Vec<SocketAddr> {
     directory.resolve(now, &RegionId::from("a"), &ZoneId::from("a-1"), 64, || 0.0)
 }
 
@@ -192,32 +193,32 @@
 }
 
 #[gtest]
-fn a_daemon_that_fell_silent_is_named_only_while_others_reach_it() {
+fn a_disconnected_daemon_is_returned_only_while_other_daemons_reach_it() {
     let mut directory = directory_with_a_suspect();
-    expect_that!(named_at(&directory, 1_000), len(eq(1)));
+    expect_that!(resolve_at(&directory, 1_000), len(eq(1)));
     expect_that!(directory.suspects(1_500), len(eq(1)));
-    directory.vouch(1_500, "edge-2", 1);
-    expect_that!(named_at(&directory, 3_000), contains(eq(&address(2))));
-    // Nobody reaches it any more.
-    expect_that!(named_at(&directory, 4_500), len(eq(1)));
+    directory.note_reachable(1_500, "edge-2", 1);
+    expect_that!(resolve_at(&directory, 3_000), contains(eq(&address(2))));
+    // The successful probe has expired.
+    expect_that!(resolve_at(&directory, 4_500), len(eq(1)));
     expect_that!(directory.suspects(60_000), is_empty());
-    directory.vouch(60_000, "edge-2", 1);
-    expect_that!(named_at(&directory, 60_001), len(eq(1)));
+    directory.note_reachable(60_000, "edge-2", 1);
+    expect_that!(resolve_at(&directory, 60_001), len(eq(1)));
 }
 
 #[gtest]
-fn the_next_run_of_a_suspect_ends_the_suspicion() {
+fn a_new_incarnation_of_a_suspect_clears_the_suspicion() {
     let mut directory = directory_with_a_suspect();
-    directory.vouch(1_500, "edge-2", 1);
+    directory.note_reachable(1_500, "edge-2", 1);
     directory.connect(address(FIRST), &edge(2, 7, "a-1", EdgePhase::Starting));
-    expect_that!(named_at(&directory, 1_600), len(eq(1)));
+    expect_that!(resolve_at(&directory, 1_600), len(eq(1)));
     expect_that!(directory.suspects(1_600), is_empty());
 }
 
 #[gtest]
-fn a_daemon_that_was_leaving_is_no_suspect() {
+fn a_disconnected_draining_daemon_does_not_become_a_suspect() {
     let mut directory = Directory::default();
     directory.suspect(0, &edge(1, 1, "a-1", EdgePhase::Draining));
-    directory.vouch(0, "edge-1", 1);
-    expect_that!(named_at(&directory, 1), is_empty());
+    directory.note_reachable(0, "edge-1", 1);
+    expect_that!(resolve_at(&directory, 1), is_empty());
 }
--- a/crates/coursestand-discovery/tests/incarnations.rs
+++ b/crates/coursestand-discovery/tests/incarnations.rs
@@ -1,32 +1,31 @@
-//! Back ends that start again under their identity, with news of all their incarnations
-//! delayed, copied and in any order. What a process believes is what the newest
-//! incarnation that it heard of said; what earlier ones said changes nothing. The naive
-//! rule, that the higher number wins and the phase never turns back, is shown to keep a
-//! restarted back end out.
+//! Back ends that restart under their identity, with updates of all their incarnations
+//! delayed, duplicated and reordered. The table holds the state that the newest known
+//! incarnation announced; updates of earlier incarnations change nothing. A naive model,
+//! in which the phase never goes back across incarnations, keeps a restarted back end out.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
 
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::{Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const STARTED: Millis = 1_796_259_000_000;
+const STARTED_AT_MS: Millis = 1_796_259_000_000;
 
-fn said(born: Option<Millis>, port: u16, sequence: u64, phase: InstancePhase) -> InstanceNews {
-    said_by("i", born, port, sequence, phase)
+fn update(born: Option<Millis>, port: u16, sequence: u64, phase: InstancePhase) -> InstanceUpdate {
+    update_of("i", born, port, sequence, phase)
 }
 
-fn said_by(
+fn update_of(
     id: &str,
     born: Option<Millis>,
     port: u16,
     sequence: u64,
     phase: InstancePhase,
-) -> InstanceNews {
-    InstanceNews {
+) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from(id),
             born,
@@ -42,7 +41,7 @@
     }
 }
 
-fn of(table: &InstanceTable, id: &str) -> Option<Instance> {
+fn instance(table: &InstanceTable, id: &str) -> Option<Instance> {
     Some(table.get(&BackendId::from(id))?.instance.clone())
 }
 
@@ -54,26 +53,29 @@
     ]
 }
 
-/// What the newest incarnation says: its furthest phase.
+/// Returns the start time of the newest incarnation and its furthest phase.
 fn expected(all: &[(u64, u64, InstancePhase)]) -> (Millis, InstancePhase) {
-    let newest = all.iter().map(|(run, ..)| *run).max().expect("some news");
-    let said = all.iter().filter(|(run, ..)| *run == newest);
-    let furthest = said.map(|(_, _, phase)| *phase).max().expect("some news");
-    (STARTED + newest, furthest)
+    let newest = all.iter().map(|(run, ..)| *run).max().expect("an update");
+    let of_newest = all.iter().filter(|(run, ..)| *run == newest);
+    let furthest = of_newest
+        .map(|(_, _, phase)| *phase)
+        .max()
+        .expect("an update");
+    (STARTED_AT_MS + newest, furthest)
 }
 
-fn news_of(all: &[(u64, u64, InstancePhase)]) -> Vec<InstanceNews> {
+fn updates(all: &[(u64, u64, InstancePhase)]) -> Vec<InstanceUpdate> {
     all.iter()
-        .map(|(run, sequence, phase)| said(Some(STARTED + run), 1, *sequence, *phase))
+        .map(|(run, sequence, phase)| update(Some(STARTED_AT_MS + run), 1, *sequence, *phase))
         .collect()
 }
 
-/// The naive rule, which knows no incarnations.
-fn naive(all: &[InstanceNews]) -> Option<InstancePhase> {
-    all.iter().map(|news| news.instance.phase).max()
+/// Returns the phase by the naive rule, which ignores incarnations.
+fn naive_phase(all: &[InstanceUpdate]) -> Option<InstancePhase> {
+    all.iter().map(|update| update.instance.phase).max()
 }
 
-/// The same cases in each run, unless a seed is given.
+/// Fixes the seed unless one is given, so that each run has the same cases.
 fn seeded() -> ProptestConfig {
     let given = ProptestConfig::default();
     let rng_seed = match given.rng_seed {
@@ -87,98 +89,107 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn the_newest_incarnation_is_believed_in_whatever_order_news_come(
+    fn the_newest_incarnation_wins_whatever_the_order_of_updates(
         all in proptest::collection::vec((0..4_u64, 1..400_u64, phases()), 1..16),
         order in proptest::collection::vec(0..1_000_usize, 24),
     ) {
         let (born, phase) = expected(&all);
-        let heard = news_of(&all);
+        let updates = updates(&all);
         let mut table = InstanceTable::default();
-        // Copies in any order, and then each once more.
+        // Duplicates in any order, and then each update once.
         for pick in order {
-            table.merge(0, heard[pick % heard.len()].clone());
+            table.merge(0, updates[pick % updates.len()].clone());
         }
-        for one in heard.iter().rev() {
-            table.merge(0, one.clone());
+        for update in updates.iter().rev() {
+            table.merge(0, update.clone());
         }
-        let known = of(&table, "i").expect("known");
+        let known = instance(&table, "i").expect("known");
         prop_assert_eq!((known.born, known.phase), (Some(born), phase));
-        // What a process that starts is told makes it believe the same.
-        let mut newcomer = InstanceTable::default();
+        // A process that starts from this table's state arrives at the same state.
+        let mut new_process = InstanceTable::default();
         for known in table.iter() {
-            newcomer.adopt(0, known.news(0));
+            new_process.adopt(0, known.to_update(0));
         }
-        prop_assert_eq!(of(&newcomer, "i").map(|known| known.phase), Some(phase));
+        prop_assert_eq!(instance(&new_process, "i").map(|known| known.phase), Some(phase));
     }
 }
 
 #[gtest]
-fn a_back_end_that_left_and_starts_again_is_ready() {
+fn a_back_end_that_left_and_restarts_is_ready() {
     let mut table = InstanceTable::default();
-    table.merge(0, said(Some(STARTED), 1, 400, InstancePhase::Ready));
-    table.merge(10, said(Some(STARTED), 1, 401, InstancePhase::Gone));
-    let again = said(Some(STARTED + 5_000), 1, 1, InstancePhase::Ready);
-    expect_that!(table.merge(5_000, again.clone()), not(is_empty()));
+    table.merge(0, update(Some(STARTED_AT_MS), 1, 400, InstancePhase::Ready));
+    table.merge(10, update(Some(STARTED_AT_MS), 1, 401, InstancePhase::Gone));
+    let restarted = update(Some(STARTED_AT_MS + 5_000), 1, 1, InstancePhase::Ready);
+    expect_that!(table.merge(5_000, restarted.clone()), not(is_empty()));
     expect_that!(
-        of(&table, "i").map(|known| known.phase),
+        instance(&table, "i").map(|known| known.phase),
         some(eq(InstancePhase::Ready))
     );
-    let naive = naive(&[
-        said(Some(STARTED), 1, 401, InstancePhase::Gone),
-        again.clone(),
+    let naive = naive_phase(&[
+        update(Some(STARTED_AT_MS), 1, 401, InstancePhase::Gone),
+        restarted.clone(),
     ]);
     expect_that!(naive, some(eq(InstancePhase::Gone)));
-    // Late words of the first life, also its order to leave, bind nobody.
-    let late = said(Some(STARTED), 1, 900, InstancePhase::Draining);
+    // Late updates of the first incarnation, also that it drains, are ignored.
+    let late = update(Some(STARTED_AT_MS), 1, 900, InstancePhase::Draining);
     expect_that!(table.merge(5_100, late), is_empty());
-    expect_that!(of(&table, "i"), some(eq(&again.instance)));
+    expect_that!(instance(&table, "i"), some(eq(&restarted.instance)));
 }
 
 #[gtest]
-fn an_incarnation_at_another_address_replaces_the_one_before() {
+fn an_incarnation_at_another_address_replaces_the_previous_one() {
     let mut table = InstanceTable::default();
-    table.merge(0, said(Some(STARTED), 1, 400, InstancePhase::Ready));
-    table.merge(10, said(Some(STARTED + 5), 2, 1, InstancePhase::Ready));
-    let address = of(&table, "i").expect("known").address;
+    table.merge(0, update(Some(STARTED_AT_MS), 1, 400, InstancePhase::Ready));
+    table.merge(
+        10,
+        update(Some(STARTED_AT_MS + 5), 2, 1, InstancePhase::Ready),
+    );
+    let address = instance(&table, "i").expect("known").address;
     expect_that!(address.port(), eq(2));
 }
 
-/// Its new address may still belong to another back end: that is claimed, as by any
-/// newcomer, and the incarnation that has ended takes nothing meanwhile.
+/// The new address of an incarnation may still belong to another back end. The incarnation
+/// then claims it, as any newcomer does, and the previous one is gone meanwhile.
 #[gtest]
 fn an_incarnation_at_an_address_that_is_held_claims_it() {
     let mut table = InstanceTable::default();
-    table.merge(0, said(Some(STARTED), 1, 400, InstancePhase::Ready));
-    table.merge(0, said_by("j", Some(STARTED), 2, 400, InstancePhase::Ready));
-    let moved = |sequence| said(Some(STARTED + 5), 2, sequence, InstancePhase::Ready);
+    table.merge(0, update(Some(STARTED_AT_MS), 1, 400, InstancePhase::Ready));
+    table.merge(
+        0,
+        update_of("j", Some(STARTED_AT_MS), 2, 400, InstancePhase::Ready),
+    );
+    let moved = |sequence| update(Some(STARTED_AT_MS + 5), 2, sequence, InstancePhase::Ready);
     table.merge(10, moved(1));
-    let phase = |table: &InstanceTable, id| of(table, id).map(|known| known.phase);
+    let phase = |table: &InstanceTable, id| instance(table, id).map(|known| known.phase);
     expect_that!(phase(&table, "i"), some(eq(InstancePhase::Gone)));
     expect_that!(phase(&table, "j"), some(eq(InstancePhase::Ready)));
     for (now, sequence) in [(1_500, 2), (3_000, 3), (4_500, 4)] {
         table.merge(now, moved(sequence));
-        // Late words of the first life don't end the claim.
-        table.merge(now, said(Some(STARTED), 1, 500, InstancePhase::Ready));
+        // Late updates of the first incarnation do not remove the claim.
+        table.merge(
+            now,
+            update(Some(STARTED_AT_MS), 1, 500, InstancePhase::Ready),
+        );
     }
     expect_that!(phase(&table, "i"), some(eq(InstancePhase::Ready)));
     expect_that!(phase(&table, "j"), some(eq(InstancePhase::Gone)));
 }
 
-/// Of two writers only one tells the start. What is told without is said by the
-/// incarnation that is known; it never begins another one.
+/// Of two software versions only one sends the start time. An update without it counts as
+/// one of the known incarnation and never starts a new one.
 #[gtest]
-fn news_without_a_start_concern_the_incarnation_that_is_known() {
+fn updates_without_a_start_time_apply_to_the_known_incarnation() {
     let mut table = InstanceTable::default();
-    table.merge(0, said(Some(STARTED), 1, 4, InstancePhase::Ready));
-    table.merge(1, said(None, 1, 5, InstancePhase::Draining));
-    let known = of(&table, "i").expect("known");
-    expect_that!(known.born, some(eq(STARTED)));
+    table.merge(0, update(Some(STARTED_AT_MS), 1, 4, InstancePhase::Ready));
+    table.merge(1, update(None, 1, 5, InstancePhase::Draining));
+    let known = instance(&table, "i").expect("known");
+    expect_that!(known.born, some(eq(STARTED_AT_MS)));
     expect_that!(known.phase, eq(InstancePhase::Draining));
-    // Nor does the first one that tells it.
+    // The first update with a start time does not start a new incarnation either.
     let mut table = InstanceTable::default();
-    table.merge(0, said(None, 1, 4, InstancePhase::Draining));
-    table.merge(1, said(Some(STARTED), 1, 5, InstancePhase::Ready));
-    let known = of(&table, "i").expect("known");
-    expect_that!(known.born, some(eq(STARTED)));
+    table.merge(0, update(None, 1, 4, InstancePhase::Draining));
+    table.merge(1, update(Some(STARTED_AT_MS), 1, 5, InstancePhase::Ready));
+    let known = instance(&table, "i").expect("known");
+    expect_that!(known.born, some(eq(STARTED_AT_MS)));
     expect_that!(known.phase, eq(InstancePhase::Draining));
 }
--- a/crates/coursestand-discovery/tests/late_heartbeats.rs
+++ b/crates/coursestand-discovery/tests/late_heartbeats.rs
@@ -1,34 +1,34 @@
-//! Heartbeats of incarnations that have ended, delayed, copied and in any order, at any
-//! control process: they never end the incarnation that lives at the address, and they
-//! are never taken for one that is ready. The naive rule, that whoever comes later has
-//! the address, is shown to fail at both.
+//! Heartbeats of crashed incarnations, delayed, duplicated and reordered, at any control
+//! process: they never mark the live incarnation at the address as gone, and a crashed
+//! incarnation never becomes ready because of them. The naive rule, that the sender of the
+//! last heartbeat has the address, violates both.
 #![allow(missing_docs)]
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::{Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const HEARTBEAT_MS: Millis = 1_500;
-/// Twenty heartbeats, after which a silent one ends.
-const SILENCE_MS: Millis = 20 * HEARTBEAT_MS;
-/// Control processes tell each other whom they heard this often.
-const DIGEST_MS: Millis = 1_000;
+/// Twenty heartbeat intervals, after which a silent instance is gone.
+const INSTANCE_TIMEOUT_MS: Millis = 20 * HEARTBEAT_MS;
+/// Interval at which control processes exchange which back ends sent heartbeats.
+const DIGEST_INTERVAL_MS: Millis = 1_000;
 const PROCESSES: usize = 3;
-/// The life of each incarnation, which ends with a crash.
-const LIFE_MS: Millis = 20_000;
+/// Lifetime of each incarnation, which ends with a crash.
+const LIFETIME_MS: Millis = 20_000;
 /// Time from a crash to the next incarnation's first heartbeat.
 const RESTART_MS: Millis = 700;
 const INCARNATIONS: u64 = 4;
-/// A live incarnation is ready this long after its first heartbeat, with none late:
-/// two heartbeats, and what its predecessor's silence and the digests take.
-const ADMITTED_MS: Millis = 6_000;
+/// Without late heartbeats, a live incarnation is ready at this age: two heartbeats, its
+/// predecessor's timeout as holder of the address, and the exchange of digests.
+const MAX_ADMISSION_MS: Millis = 6_000;
 
-fn heartbeat(incarnation: u64, sequence: u64) -> InstanceNews {
-    InstanceNews {
+fn heartbeat(incarnation: u64, sequence: u64) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId(format!("i-{incarnation}")),
             born: None,
@@ -44,30 +44,30 @@
     }
 }
 
-/// A control process's beliefs.
-trait Believes: Default {
-    fn heartbeat(&mut self, now: Millis, news: InstanceNews) -> Vec<InstanceNews>;
-    /// All that it knows, for a process that starts.
-    fn snapshot(&self, now: Millis) -> Vec<InstanceNews>;
-    fn heard(&mut self, now: Millis, id: &BackendId);
+/// A control process's state of the back ends.
+trait DiscoveryState: Default {
+    fn heartbeat(&mut self, now: Millis, update: InstanceUpdate) -> Vec<InstanceUpdate>;
+    /// Returns the whole state, for a process that starts.
+    fn snapshot(&self, now: Millis) -> Vec<InstanceUpdate>;
+    fn note_remote_contact(&mut self, now: Millis, id: &BackendId);
     fn tick(&mut self, now: Millis);
     fn is_ready(&self, incarnation: u64) -> bool;
 }
 
-impl Believes for InstanceTable {
-    fn heartbeat(&mut self, now: Millis, news: InstanceNews) -> Vec<InstanceNews> {
-        let changed = self.merge(now, news);
+impl DiscoveryState for InstanceTable {
+    fn heartbeat(&mut self, now: Millis, update: InstanceUpdate) -> Vec<InstanceUpdate> {
+        let changed = self.merge(now, update);
         let known = changed.iter().filter_map(|id| self.get(id));
-        known.map(|known| known.news(now)).collect()
+        known.map(|known| known.to_update(now)).collect()
     }
-    fn snapshot(&self, now: Millis) -> Vec<InstanceNews> {
-        self.iter().map(|known| known.news(now)).collect()
+    fn snapshot(&self, now: Millis) -> Vec<InstanceUpdate> {
+        self.iter().map(|known| known.to_update(now)).collect()
     }
-    fn heard(&mut self, now: Millis, id: &BackendId) {
-        InstanceTable::heard(self, now, id);
+    fn note_remote_contact(&mut self, now: Millis, id: &BackendId) {
+        InstanceTable::note_remote_contact(self, now, id);
     }
     fn tick(&mut self, now: Millis) {
-        self.expire(now, SILENCE_MS);
+        self.expire(now, INSTANCE_TIMEOUT_MS);
     }
     fn is_ready(&self, incarnation: u64) -> bool {
         let known = self.get(&heartbeat(incarnation, 0).instance.id);
@@ -75,33 +75,33 @@
     }
 }
 
-/// Whoever comes later has the address, and what has ended stays so.
+/// The sender of the last first heartbeat has the address, and a phase never goes back.
 #[derive(Default)]
-struct Naive(HashMap<BackendId, InstanceNews>);
+struct Naive(HashMap<BackendId, InstanceUpdate>);
 
-impl Believes for Naive {
-    fn heartbeat(&mut self, _: Millis, news: InstanceNews) -> Vec<InstanceNews> {
-        let id = news.instance.id.clone();
+impl DiscoveryState for Naive {
+    fn heartbeat(&mut self, _: Millis, update: InstanceUpdate) -> Vec<InstanceUpdate> {
+        let id = update.instance.id.clone();
         if let Some(known) = self.0.get_mut(&id) {
-            let is_news = news.instance.phase > known.instance.phase;
-            known.instance.phase = known.instance.phase.max(news.instance.phase);
-            return if is_news { vec![news] } else { Vec::new() };
+            let is_changed = update.instance.phase > known.instance.phase;
+            known.instance.phase = known.instance.phase.max(update.instance.phase);
+            return if is_changed { vec![update] } else { Vec::new() };
         }
         let mut changed = Vec::new();
-        if news.instance.phase == InstancePhase::Ready {
+        if update.instance.phase == InstancePhase::Ready {
             for known in self.0.values_mut() {
                 known.instance.phase = InstancePhase::Gone;
                 changed.push(known.clone());
             }
         }
-        changed.push(news.clone());
-        self.0.insert(id, news);
+        changed.push(update.clone());
+        self.0.insert(id, update);
         changed
     }
-    fn snapshot(&self, _: Millis) -> Vec<InstanceNews> {
+    fn snapshot(&self, _: Millis) -> Vec<InstanceUpdate> {
         self.0.values().cloned().collect()
     }
-    fn heard(&mut self, _: Millis, _: &BackendId) {}
+    fn note_remote_contact(&mut self, _: Millis, _: &BackendId) {}
     fn tick(&mut self, _: Millis) {}
     fn is_ready(&self, incarnation: u64) -> bool {
         let known = self.0.get(&heartbeat(incarnation, 0).instance.id);
@@ -109,34 +109,33 @@
     }
 }
 
-/// A heartbeat of an incarnation that has ended, on its way for so long that the next
-/// one has registered.
+/// A heartbeat of a crashed incarnation, delayed until after the next one has registered.
 #[derive(Clone, Debug)]
-struct Late {
+struct LateHeartbeat {
     at: Millis,
     incarnation: u64,
     sequence: u64,
     process: usize,
 }
 
-fn late() -> impl Strategy<Value = Late> {
-    // Half of the sequences are higher than any that was heard before.
+fn late_heartbeat() -> impl Strategy<Value = LateHeartbeat> {
+    // Half of the sequence numbers are higher than any that arrived earlier.
     (
         0..INCARNATIONS,
-        ADMITTED_MS..LIFE_MS,
+        MAX_ADMISSION_MS..LIFETIME_MS,
         1..28_u64,
         0..PROCESSES,
         0..100_u64,
     )
-        .prop_map(|(living, age, sequence, process, which)| {
-            let at = living * LIFE_MS + age;
-            // Also such as nobody ever heard of, numbered from 100.
-            let incarnation = if living == 0 || which % 2 == 0 {
-                100 + which % 3
+        .prop_map(|(live, age, sequence, process, choice)| {
+            let at = live * LIFETIME_MS + age;
+            // Includes incarnations that no process has a record of, numbered from 100.
+            let incarnation = if live == 0 || choice % 2 == 0 {
+                100 + choice % 3
             } else {
-                which % living
+                choice % live
             };
-            Late {
+            LateHeartbeat {
                 at,
                 incarnation,
                 sequence,
@@ -145,86 +144,92 @@
         })
 }
 
-/// Whether a process loses its memory once, and when.
+/// Times at which a process restarts with the state of another one.
 fn restarts() -> impl Strategy<Value = Vec<(Millis, usize)>> {
-    proptest::collection::vec((0..INCARNATIONS * LIFE_MS, 0..PROCESSES), 0..3)
+    proptest::collection::vec((0..INCARNATIONS * LIFETIME_MS, 0..PROCESSES), 0..3)
 }
 
-/// Lives `INCARNATIONS` at one address. Returns what went wrong first.
-fn play<B: Believes>(late: &[Late], restarts: &[(Millis, usize)]) -> Result<(), String> {
-    let mut processes: Vec<B> = (0..PROCESSES).map(|_| B::default()).collect();
-    let mut heard: Vec<Vec<BackendId>> = vec![Vec::new(); PROCESSES];
+/// Runs `INCARNATIONS` one after the other at one address. Returns the first violation.
+fn run_scenario<S: DiscoveryState>(
+    late: &[LateHeartbeat],
+    restarts: &[(Millis, usize)],
+) -> Result<(), String> {
+    let mut processes: Vec<S> = (0..PROCESSES).map(|_| S::default()).collect();
+    let mut received: Vec<Vec<BackendId>> = vec![Vec::new(); PROCESSES];
     let mut disturbed_at: Millis = 0;
-    for now in (0..INCARNATIONS * LIFE_MS).step_by(100) {
-        let (living, age) = (now / LIFE_MS, now % LIFE_MS);
+    for now in (0..INCARNATIONS * LIFETIME_MS).step_by(100) {
+        let (live, age) = (now / LIFETIME_MS, now % LIFETIME_MS);
         for (_, process) in restarts.iter().filter(|(at, _)| at / 100 == now / 100) {
-            let known = processes[(process + 1) % PROCESSES].snapshot(now);
-            processes[*process] = B::default();
-            for news in known {
-                processes[*process].heartbeat(now, news);
+            let snapshot = processes[(process + 1) % PROCESSES].snapshot(now);
+            processes[*process] = S::default();
+            for update in snapshot {
+                processes[*process].heartbeat(now, update);
             }
             disturbed_at = now;
         }
         let mut arriving = Vec::new();
-        let beats = age >= RESTART_MS && (age - RESTART_MS) % HEARTBEAT_MS < 100;
-        if beats {
+        let is_heartbeat_due = age >= RESTART_MS && (age - RESTART_MS) % HEARTBEAT_MS < 100;
+        if is_heartbeat_due {
             let sequence = (age - RESTART_MS) / HEARTBEAT_MS + 1;
-            arriving.push((living as usize % PROCESSES, heartbeat(living, sequence)));
+            arriving.push((live as usize % PROCESSES, heartbeat(live, sequence)));
         }
-        for one in late.iter().filter(|one| one.at / 100 == now / 100) {
-            arriving.push((one.process, heartbeat(one.incarnation, one.sequence)));
+        for late in late.iter().filter(|late| late.at / 100 == now / 100) {
+            arriving.push((late.process, heartbeat(late.incarnation, late.sequence)));
             disturbed_at = now;
         }
-        for (process, news) in arriving {
-            heard[process].push(news.instance.id.clone());
-            let changed = processes[process].heartbeat(now, news);
+        for (process, update) in arriving {
+            received[process].push(update.instance.id.clone());
+            let changed = processes[process].heartbeat(now, update);
             for other in (0..PROCESSES).filter(|other| *other != process) {
-                for news in &changed {
-                    processes[other].heartbeat(now, news.clone());
+                for update in &changed {
+                    processes[other].heartbeat(now, update.clone());
                 }
             }
         }
-        if now % DIGEST_MS == 0 {
+        if now % DIGEST_INTERVAL_MS == 0 {
             for process in 0..PROCESSES {
-                let digest = std::mem::take(&mut heard[process]);
+                let digest = std::mem::take(&mut received[process]);
                 for other in (0..PROCESSES).filter(|other| *other != process) {
-                    digest.iter().for_each(|id| processes[other].heard(now, id));
+                    digest
+                        .iter()
+                        .for_each(|id| processes[other].note_remote_contact(now, id));
                 }
                 processes[process].tick(now);
             }
         }
-        check(&processes, now, living, age, disturbed_at)?;
+        check(&processes, now, live, age, disturbed_at)?;
     }
     Ok(())
 }
 
-fn check<B: Believes>(
-    processes: &[B],
+fn check<S: DiscoveryState>(
+    processes: &[S],
     now: Millis,
-    living: u64,
+    live: u64,
     age: Millis,
     disturbed_at: Millis,
 ) -> Result<(), String> {
-    // What the living one's own process believes reaches every entry daemon.
-    let own = &processes[living as usize % PROCESSES];
-    let calm_ms = age.min(now - disturbed_at);
-    if calm_ms >= ADMITTED_MS && !own.is_ready(living) {
-        return Err(format!(
-            "{now}: the living incarnation {living} is not ready"
-        ));
+    // Entry daemons get the state of the process that the live incarnation sends its
+    // heartbeats to.
+    let receiver = &processes[live as usize % PROCESSES];
+    let undisturbed_ms = age.min(now - disturbed_at);
+    if undisturbed_ms >= MAX_ADMISSION_MS && !receiver.is_ready(live) {
+        return Err(format!("{now}: the live incarnation {live} is not ready"));
     }
-    let stale = (0..living).chain(100..103);
+    let stale = (0..live).chain(100..103);
     for incarnation in stale {
-        let was_admitted = own.is_ready(living);
-        let is_shown = processes.iter().any(|one| one.is_ready(incarnation));
-        if was_admitted && is_shown && calm_ms >= ADMITTED_MS {
-            return Err(format!("{now}: {incarnation} is ready beside {living}"));
+        let was_admitted = receiver.is_ready(live);
+        let is_ready = processes
+            .iter()
+            .any(|process| process.is_ready(incarnation));
+        if was_admitted && is_ready && undisturbed_ms >= MAX_ADMISSION_MS {
+            return Err(format!("{now}: {incarnation} is ready beside {live}"));
         }
     }
     Ok(())
 }
 
-/// The same cases in each run, unless a seed is given.
+/// Fixes the seed unless one is given, so that each run has the same cases.
 fn seeded() -> ProptestConfig {
     let given = ProptestConfig::default();
     let rng_seed = match given.rng_seed {
@@ -239,19 +244,19 @@
 
     #[test]
     fn late_heartbeats_change_nothing(
-        late in proptest::collection::vec(late(), 0..60),
+        late in proptest::collection::vec(late_heartbeat(), 0..60),
         restarts in restarts(),
     ) {
-        let played = play::<InstanceTable>(&late, &restarts);
-        prop_assert!(played.is_ok(), "{:?}", played);
+        let result = run_scenario::<InstanceTable>(&late, &restarts);
+        prop_assert!(result.is_ok(), "{:?}", result);
     }
 }
 
-/// Found by the property with a seed of its own: copies of one late heartbeat come to two
-/// processes while the living one has crashed, and one of them loses its memory.
+/// Guards against admitting a crashed incarnation: copies of one late heartbeat reach two
+/// processes just before the live incarnation crashes, and one of the two restarts.
 #[test]
 fn late_copies_at_two_processes_beside_a_restart_change_nothing() {
-    let late = |at, incarnation, process| Late {
+    let late = |at, incarnation, process| LateHeartbeat {
         at,
         incarnation,
         sequence: 1,
@@ -262,36 +267,36 @@
         late(19_100, 102, 1),
         late(18_700, 102, 0),
     ];
-    let played = play::<InstanceTable>(&all, &[(22_300, 1)]);
-    assert!(played.is_ok(), "{played:?}");
+    let result = run_scenario::<InstanceTable>(&all, &[(22_300, 1)]);
+    assert!(result.is_ok(), "{result:?}");
 }
 
-/// Found by the property with a seed of its own: two different heartbeats of a dead one
-/// come to one process a second apart, just before the living one crashes. It was admitted
-/// beside the successor, by either of two ways: both heartbeats counted though the holder
-/// lived when they came; and the address counted as free between the news of the holder's
-/// end and that of its successor, which come one after the other. A trace of what each
-/// process told showed both; either mend alone leaves the other way.
+/// Two different heartbeats of a crashed incarnation reach one process a second apart, just
+/// before the live one crashes. The crashed incarnation must not be admitted beside the
+/// successor, which two separate faults can cause: counting heartbeats that arrived while
+/// the holder was live, and treating the address as free between the update that the
+/// holder is gone and that of its successor, which arrive one after the other.
 #[test]
 fn two_late_heartbeats_before_a_crash_change_nothing() {
-    let late = |at, sequence| Late {
+    let late = |at, sequence| LateHeartbeat {
         at,
         incarnation: 102,
         sequence,
         process: 2,
     };
-    let played = play::<InstanceTable>(&[late(59_700, 19), late(58_700, 1)], &[(62_300, 0)]);
-    assert!(played.is_ok(), "{played:?}");
+    let result =
+        run_scenario::<InstanceTable>(&[late(59_700, 19), late(58_700, 1)], &[(62_300, 0)]);
+    assert!(result.is_ok(), "{result:?}");
 }
 
 #[test]
-fn the_naive_rule_ends_the_living() {
-    let late = vec![Late {
+fn the_naive_rule_marks_the_live_incarnation_as_gone() {
+    let late = vec![LateHeartbeat {
         at: 9_000,
         incarnation: 100,
         sequence: 5,
         process: 1,
     }];
-    assert!(play::<Naive>(&late, &[]).is_err());
-    assert!(play::<InstanceTable>(&late, &[]).is_ok());
+    assert!(run_scenario::<Naive>(&late, &[]).is_err());
+    assert!(run_scenario::<InstanceTable>(&late, &[]).is_ok());
 }
--- a/crates/coursestand-proxy/src/edge_state.rs
+++ b/crates/coursestand-proxy/src/edge_state.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use coursestand_catalog::{Catalog, CatalogDelta};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_kernel::MonotonicClock;
 use coursestand_model::{Millis, ServiceId, ZoneId};
 use coursestand_routing::cold::OwnerViews;
@@ -175,7 +175,7 @@
     }
 
     /// Takes in news of back ends.
-    pub fn adopt_instances(&self, news: Vec<InstanceNews>) {
+    pub fn adopt_instances(&self, news: Vec<InstanceUpdate>) {
         let now = self.now();
         let mut beliefs = self.beliefs();
         let mut changed = false;
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use coursestand_catalog::{Catalog, Patch, Route, RouteKind};
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_kernel::MonotonicClock;
 use coursestand_lab::items;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
@@ -88,8 +88,8 @@
     catalog
 }
 
-pub fn news(number: usize, address: SocketAddr, phase: InstancePhase) -> InstanceNews {
-    InstanceNews {
+pub fn news(number: usize, address: SocketAddr, phase: InstancePhase) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId(format!("i-{number}")),
             born: None,
--- a/crates/coursestand-routing/benches/pick.rs
+++ b/crates/coursestand-routing/benches/pick.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use coursestand_catalog::Catalog;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, RegionId, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
@@ -53,7 +53,7 @@
         };
         backends.merge(
             0,
-            InstanceNews {
+            InstanceUpdate {
                 instance,
                 cold_ms: 0,
             },
--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashMap;
 
-use coursestand_discovery::table::Known;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::table::KnownInstance;
+use coursestand_discovery::{Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId};
 
 use crate::backoff::Backoff;
@@ -88,7 +88,7 @@
 }
 
 impl Backend {
-    fn new(news: InstanceNews, now: Millis) -> Backend {
+    fn new(news: InstanceUpdate, now: Millis) -> Backend {
         Backend {
             hash: hash_of(news.instance.id.as_str()),
             memory: memory_of(&news.instance),
@@ -197,7 +197,7 @@
 
 impl Backends {
     /// Takes in news of an instance. Returns whether anything changed.
-    pub fn merge(&mut self, now: Millis, news: InstanceNews) -> bool {
+    pub fn merge(&mut self, now: Millis, news: InstanceUpdate) -> bool {
         let changed = self.table.adopt(now, news);
         for id in &changed {
             self.refresh(now, id);
@@ -232,8 +232,8 @@
         }
     }
 
-    fn insert(&mut self, now: Millis, known: &Known) {
-        let backend = Backend::new(known.news(now), now);
+    fn insert(&mut self, now: Millis, known: &KnownInstance) {
+        let backend = Backend::new(known.to_update(now), now);
         let id = backend.instance.id.clone();
         let service = backend.instance.service.clone();
         self.by_service.entry(service).or_default().push(id.clone());
@@ -341,7 +341,7 @@
     /// still tell of this incarnation, and if none can be reached. Returns whether it is
     /// news.
     pub fn note_draining(&mut self, now: Millis, id: &BackendId) -> bool {
-        let is_news = self.table.drain(id);
+        let is_news = self.table.mark_draining(id);
         self.refresh(now, id);
         is_news
     }
@@ -468,7 +468,7 @@
     /// say so of itself, and one word would end it here for good.
     pub fn note_misdirected(&mut self, now: Millis, id: &BackendId) {
         if self.shares_address(id) {
-            self.table.end(now, id);
+            self.table.mark_gone(now, id);
             self.remove(id);
         } else {
             self.note_unreachable(now, id);
--- a/crates/coursestand-routing/tests/backoff.rs
+++ b/crates/coursestand-routing/tests/backoff.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use coursestand_catalog::Catalog;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::backoff::LONGEST_BACKOFF_MS;
@@ -29,8 +29,8 @@
     BackendId(format!("i-{number}"))
 }
 
-fn news(number: usize, born: Millis, sequence: u64, phase: InstancePhase) -> InstanceNews {
-    InstanceNews {
+fn news(number: usize, born: Millis, sequence: u64, phase: InstancePhase) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: id(number),
             born: Some(born),
--- a/crates/coursestand-routing/tests/incarnations.rs
+++ b/crates/coursestand-routing/tests/incarnations.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::{Backend, Backends, LoadReport};
@@ -15,8 +15,8 @@
     half_life_ms: 1_000,
 };
 
-fn news(born: Millis, cold_ms: Millis) -> InstanceNews {
-    InstanceNews {
+fn news(born: Millis, cold_ms: Millis) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
             born: Some(born),
--- a/crates/coursestand-routing/tests/joining.rs
+++ b/crates/coursestand-routing/tests/joining.rs
@@ -7,7 +7,7 @@
 
 use coursestand_catalog::patch::Upsert;
 use coursestand_catalog::{Catalog, Item, ItemKey, Patch, ServiceItem};
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
@@ -34,8 +34,8 @@
     BackendId(format!("i-{number}"))
 }
 
-fn news(number: usize, cold_ms: Millis) -> InstanceNews {
-    InstanceNews {
+fn news(number: usize, cold_ms: Millis) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: id(number),
             born: None,
--- a/crates/coursestand-routing/tests/rate_limits/picks.rs
+++ b/crates/coursestand-routing/tests/rate_limits/picks.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use coursestand_catalog::Catalog;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, RegionId, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::cold::{ColdLimits, OwnerViews};
@@ -59,7 +59,7 @@
             phase: InstancePhase::Ready,
         };
         let cold_ms = 0;
-        backends.merge(0, InstanceNews { instance, cold_ms });
+        backends.merge(0, InstanceUpdate { instance, cold_ms });
     }
     backends
 }
--- a/crates/coursestand-routing/tests/routing.rs
+++ b/crates/coursestand-routing/tests/routing.rs
@@ -8,7 +8,7 @@
 use coursestand_catalog::{
     Catalog, Item, ItemKey, Patch, Route, RouteKind, RouteTarget, ServiceItem,
 };
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, RegionId, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::cold::{ColdLimits, OwnerViews, owner};
@@ -48,9 +48,9 @@
     }
 }
 
-fn news(id: &str, zone: &str) -> InstanceNews {
+fn news(id: &str, zone: &str) -> InstanceUpdate {
     let host = (hash_of(id) % 250) as u8;
-    InstanceNews {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from(id),
             born: None,
--- a/crates/coursestand-routing/tests/shared_address.rs
+++ b/crates/coursestand-routing/tests/shared_address.rs
@@ -5,13 +5,13 @@
 
 use std::net::SocketAddr;
 
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, ServiceId, ZoneId};
 use coursestand_routing::Backends;
 use googletest::prelude::*;
 
-fn news(id: &str, sequence: u64, phase: InstancePhase) -> InstanceNews {
-    InstanceNews {
+fn news(id: &str, sequence: u64, phase: InstancePhase) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from(id),
             born: None,
--- a/crates/coursestand-routing/tests/untrusted_figures.rs
+++ b/crates/coursestand-routing/tests/untrusted_figures.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase};
+use coursestand_discovery::{Instance, InstancePhase, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_routing::backends::ReportTrust;
 use coursestand_routing::{Backend, Backends, LoadReport};
@@ -14,8 +14,8 @@
     half_life_ms: 1_000,
 };
 
-fn news(cold_ms: Millis) -> InstanceNews {
-    InstanceNews {
+fn news(cold_ms: Millis) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
             born: None,
@@ -55,7 +55,7 @@
     expect_that!(known(&backends).is_cold(1_000), eq(true));
     backends.merge(
         20,
-        InstanceNews {
+        InstanceUpdate {
             instance: Instance {
                 sequence: 2,
                 ..news(0).instance
