--- a/crates/coursestand-model/src/bundle.rs
+++ b/crates/coursestand-model/src/bundle.rs
@@ -1,5 +1,5 @@
-//! The policy bundle: places, services, policies and limits, versioned and
-//! signed. Operators change the system only through bundles.
+//! Policy bundle: regions, zones, services, policies and limits, versioned and signed.
+//! Operators change the system only through bundles.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,9 +11,9 @@
 use crate::load::{InvalidValue, Validate};
 use crate::{FULL_SHARE, Millis};
 
-/// Longest window over which a shift cap may be stated.
+/// Maximum window of a shift cap.
 pub const MAX_SHIFT_WINDOW_MS: Millis = 3_600_000;
-/// Longest deadline that a service may allow.
+/// Maximum deadline that a service may allow.
 pub const MAX_DEADLINE_MS: Millis = 120_000;
 
 /// A region and its limits.
@@ -24,7 +24,7 @@
     pub id: RegionId,
     /// Zones in the region.
     pub zones: Vec<ZoneId>,
-    /// Requests that the region can run at the same time, over all services.
+    /// Maximum number of concurrent requests in the region, over all services.
     pub capacity: u32,
 }
 
@@ -36,7 +36,7 @@
     pub from: RegionId,
     /// Region of the back ends.
     pub to: RegionId,
-    /// Requests that may be in flight over the link at the same time.
+    /// Maximum number of requests in flight over the link.
     pub capacity: u32,
 }
 
@@ -52,7 +52,7 @@
     pub to_clients: f64,
 }
 
-/// How the share of each zone is chosen.
+/// Policy that determines the share of each zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(
     tag = "kind",
@@ -61,24 +61,24 @@
     deny_unknown_fields
 )]
 pub enum Policy {
-    /// All traffic of a client zone goes to the nearest zone with back ends.
+    /// Sends all traffic of a client zone to the nearest zone with back ends.
     Nearest {},
-    /// Traffic is spread over the zones of the nearest region with back ends,
-    /// in proportion to their slots.
+    /// Spreads traffic over the zones of the nearest region with back ends, in proportion to
+    /// their slots.
     Headroom {},
-    /// Fixed weights by zone, renormalized over the zones with back ends.
+    /// Spreads traffic by fixed weights, normalized over the zones with back ends.
     Weighted {
-        /// Weight of each zone; zones that are not named get none.
+        /// Weight of each zone; zones that are not listed have weight 0.
         weights: BTreeMap<ZoneId, u32>,
     },
 }
 
-/// The most traffic that may move between zones.
+/// Limit on the traffic that may move between zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ShiftCap {
-    /// Basis points of the traffic of one service from one client zone that may
-    /// move to other zones within any window.
+    /// Maximum share of the traffic of one service from one client zone that may move to
+    /// other zones within any window, in basis points.
     pub share_bp: u32,
     /// Length of the window in milliseconds.
     pub window_ms: Millis,
@@ -90,18 +90,18 @@
 pub struct Service {
     /// Name of the service.
     pub id: ServiceId,
-    /// Whether a request may run more than once. When false, each request that
-    /// changes state carries an idempotency key and runs at most once.
+    /// Whether a request may run more than once. If false, each request that changes state
+    /// must carry an idempotency key and runs at most once.
     pub repeatable: bool,
-    /// How the share of each zone is chosen.
+    /// Policy that determines the share of each zone.
     pub policy: Policy,
-    /// The most traffic that may move.
+    /// Limit on the traffic that may move between zones.
     pub shift_cap: ShiftCap,
-    /// Default and longest deadline of a request, in milliseconds.
+    /// Default and maximum deadline of a request, in milliseconds.
     pub deadline_ms: Millis,
-    /// Longest wait for a free slot in a daemon, in milliseconds.
+    /// Maximum time that a request waits for a free slot in a daemon, in milliseconds.
     pub queue_ms: Millis,
-    /// Largest request body in bytes.
+    /// Maximum length of a request body in bytes.
     pub max_body_bytes: u64,
 }
 
@@ -120,9 +120,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Lookup {
-    /// How long callers may cache an answer, in milliseconds.
+    /// Time for which callers may cache an answer, in milliseconds.
     pub lifetime_ms: Millis,
-    /// Entry daemons named in one answer.
+    /// Maximum number of entry daemons in an answer.
     pub answers: usize,
 }
 
@@ -130,29 +130,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Once {
-    /// Age from which an idempotency key is refused, in milliseconds.
+    /// Age from which an idempotency key is rejected, in milliseconds.
     pub retention_ms: Millis,
-    /// How far in the future a key may have been issued, in milliseconds.
+    /// Maximum time by which the issue time of a key may lie in the future, in milliseconds.
     pub clock_skew_ms: Millis,
 }
 
-/// A versioned package of policies with their settings.
+/// A policy bundle: regions, services, policies and limits under one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
     /// Name of the bundle.
     pub name: String,
-    /// Version, chosen by the operator; one content per name and version.
+    /// Version, chosen by the operator. Bundles of the same name and version must have the
+    /// same content.
     pub version: u64,
     /// Regions with their zones and limits.
     pub regions: Vec<Region>,
-    /// Limits of the links between regions; other links have none.
+    /// Limits of links between regions; links that are not listed have no limit.
     pub links: Vec<Link>,
     /// One-way latencies.
     pub latency_ms: Latency,
     /// Services and their policies.
     pub services: Vec<Service>,
-    /// Client blocks; the longest match decides.
+    /// Client address blocks; the longest matching prefix applies.
     pub clients: Vec<ClientBlock>,
     /// Rules for look-up answers.
     pub lookup: Lookup,
@@ -161,39 +162,39 @@
 }
 
 impl Bundle {
-    /// The region of `zone`.
+    /// Returns the region of `zone`.
     pub fn region_of(&self, zone: &ZoneId) -> Option<&Region> {
         self.regions
             .iter()
             .find(|region| region.zones.contains(zone))
     }
 
-    /// All zones in the order of the bundle.
+    /// Returns all zones in the order of the bundle.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneId> {
         self.regions.iter().flat_map(|region| region.zones.iter())
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     pub fn service(&self, id: &ServiceId) -> Option<&Service> {
         self.services.iter().find(|service| service.id == *id)
     }
 
-    /// One-way latency between two zones, in milliseconds.
+    /// Returns the one-way latency between two zones, in milliseconds.
     pub fn latency_between(&self, from: &ZoneId, to: &ZoneId) -> f64 {
         if from == to {
             return 0.0;
         }
-        let same_region = self
+        let is_same_region = self
             .region_of(from)
             .is_some_and(|region| region.zones.contains(to));
-        if same_region {
+        if is_same_region {
             self.latency_ms.between_zones
         } else {
             self.latency_ms.between_regions
         }
     }
 
-    /// The longest deadline of all services, in milliseconds.
+    /// Returns the longest deadline of all services, in milliseconds.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.services
             .iter()
@@ -375,7 +376,7 @@
     }
 }
 
-/// One operator's sign-off of a bundle.
+/// Signature of a bundle by one operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Signature {
@@ -385,18 +386,18 @@
     pub signature: String,
 }
 
-/// A bundle as it travels: the exact text that was signed, and the sign-offs.
+/// A signed bundle: the exact text that was signed, and the signatures.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SignedBundle {
-    /// JSON text of the [`Bundle`].
+    /// JSON text of the bundle.
     pub content: String,
-    /// Sign-offs over the bytes of `content`.
+    /// Signatures over the bytes of `content`.
     pub signatures: Vec<Signature>,
 }
 
 impl SignedBundle {
-    /// SHA-256 of the content, as hexadecimal text.
+    /// Returns the SHA-256 hash of the content, as hexadecimal text.
     pub fn content_hash(&self) -> String {
         hex::encode(Sha256::digest(self.content.as_bytes()))
     }
--- a/crates/coursestand-model/src/fleet.rs
+++ b/crates/coursestand-model/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Settings of one process of a fleet: a deployment whose control group forms by
-//! itself from seeds and whose entry daemons follow the catalog.
+//! Settings of one process of a fleet: a deployment whose control group forms automatically
+//! from seed addresses and whose entry daemons follow the catalog.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetControlSettings {
-    /// Where operators and back ends reach it.
+    /// Address of the control API for operators and back ends.
     pub listen: SocketAddr,
-    /// Where clients look up entry daemons.
+    /// Address on which clients look up entry daemons.
     pub lookup_listen: SocketAddr,
     /// Folder for the replicated log and the replica's identity.
     pub data_folder: PathBuf,
@@ -29,51 +29,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetEdgeSettings {
-    /// Where callers reach it.
+    /// Address on which callers reach the process.
     pub listen: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Address of the readiness check.
     pub ready_listen: SocketAddr,
 }
 
-/// Bounds that hold for the deployment as a whole.
+/// Bounds of the deployment as a whole.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetBounds {
-    /// Control disks that may be lost at once.
+    /// Number of control disks that may be lost at the same time.
     pub lost_disks: usize,
-    /// Time between two heartbeats of a back end.
+    /// Interval between two heartbeats of a back end.
     pub heartbeat: Span,
-    /// Time that a planned stop has.
+    /// Maximum duration of a planned stop.
     pub stop: Span,
-    /// Longest time that a client may hold the answer to a look-up.
+    /// Maximum time for which a client may cache the answer to a look-up.
     pub lookup_ttl: Span,
-    /// Requests sent again, for each request to a service.
+    /// Retries allowed per request to a service.
     pub retry_ratio: f64,
-    /// Requests sent again in each window besides.
+    /// Additional retries allowed in each window.
     pub retry_extra: f64,
-    /// That window.
+    /// Length of that window.
     pub retry_window: Span,
     /// Factor on the nominal rate of a cold back end.
     pub cold_overage: f64,
-    /// Requests a second to a cold back end on top of that.
+    /// Additional requests per second to a cold back end.
     pub cold_slack: f64,
 }
 
-/// How entry daemons balance load. The defaults suit services whose requests take
-/// from tens of milliseconds to seconds.
+/// Load balancing by entry daemons. The defaults suit services whose requests take from
+/// tens of milliseconds to seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalanceSettings {
-    /// Load over capacity from which on a back end gets nothing more, unless the
-    /// request is expected to be done within its objective all the same.
+    /// Ratio of load to capacity from which a back end gets no further requests, except
+    /// those that are expected to complete within their latency objective.
     pub hard_load: f64,
-    /// Gone; only here so that a file that sets it is told what to do.
+    /// Removed setting. It is still parsed, so that a file with it is rejected with an error
+    /// that names the replacement.
     #[serde(skip_serializing)]
     #[schemars(skip)]
     pub soft_load: Option<f64>,
-    /// A load report counts in full for this long.
+    /// Time for which a load report has its full weight.
     pub report_hold: Span,
-    /// After that, it loses half of its weight in this time.
+    /// Half-life of a load report's weight after that time.
     pub report_half_life: Span,
 }
 
@@ -94,37 +95,37 @@
 pub struct FleetSettings {
     /// Name of the process, unique in the deployment.
     pub name: String,
-    /// Zone in which it runs.
+    /// Zone in which the process runs.
     pub zone: ZoneId,
     /// Region of that zone.
     pub region: RegionId,
-    /// The region of each zone.
+    /// Region of each zone.
     pub zones: BTreeMap<ZoneId, RegionId>,
-    /// Address of the machine.
+    /// IP address of the machine.
     pub ip: IpAddr,
-    /// First and last port for the processes' own exchanges; all machines have
-    /// the same.
+    /// First and last port for connections between processes, the same on all machines.
     pub internal_ports: (u16, u16),
-    /// Addresses of some processes that serve control; only their machines count.
+    /// Addresses of some control processes. Only the IP addresses are used, with the first
+    /// of `internal_ports`.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether the deployment as a whole starts for the first time.
     pub bootstrap: bool,
     /// Address of the admin interface: state dump, metrics and health.
     pub admin_listen: SocketAddr,
     /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_log_level")]
     pub log_level: String,
-    /// Set when the process serves control.
+    /// Settings of the control role; set if the process serves control.
     pub control: Option<FleetControlSettings>,
-    /// Set when the process serves callers.
+    /// Settings of the edge role; set if the process serves callers.
     pub edge: Option<FleetEdgeSettings>,
-    /// Speed of the machine's link in each direction, in megabits a second. With
-    /// it, look-ups even out how much of their links entry daemons use.
+    /// Bandwidth of the machine's link in each direction, in megabits per second. If set,
+    /// look-ups balance the link utilization of entry daemons.
     #[serde(default)]
     pub link_mbps: Option<f64>,
     /// Bounds of the deployment.
     pub bounds: FleetBounds,
-    /// How entry daemons balance load.
+    /// Load balancing by entry daemons.
     #[serde(default)]
     pub balance: BalanceSettings,
 }
@@ -134,12 +135,13 @@
 }
 
 impl FleetSettings {
-    /// Where this process takes exchanges of other processes.
+    /// Returns the address on which this process accepts connections of other processes.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports.0)
     }
 
-    /// Where the processes at the seeds take exchanges.
+    /// Returns the addresses on which the seed processes accept connections of other
+    /// processes.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
@@ -181,11 +183,12 @@
         }
         let balance = &self.balance;
         if let Some(soft_load) = balance.soft_load {
-            let allowed = "nothing: learned times decide now; `balance.hard_load` is left";
+            let allowed =
+                "no value: removed in favour of learned work times; `balance.hard_load` remains";
             return Err(InvalidValue::new("balance.soft_load", soft_load, allowed));
         }
-        let has_hard_load = balance.hard_load > 0.0;
-        if !has_hard_load {
+        let is_valid_hard_load = balance.hard_load > 0.0;
+        if !is_valid_hard_load {
             let allowed = "a load over 0";
             return Err(InvalidValue::new(
                 "balance.hard_load",
--- a/crates/coursestand-model/src/headers.rs
+++ b/crates/coursestand-model/src/headers.rs
@@ -2,7 +2,7 @@
 
 /// Caller → gateway: address of the client, used to find its zone.
 pub const CLIENT: &str = "x-client";
-/// Caller → gateway → back end: milliseconds left for the request.
+/// Caller → gateway → back end: remaining milliseconds for the request.
 pub const DEADLINE: &str = "x-deadline-ms";
 /// Caller → gateway: `<issued Unix milliseconds>-<unique text>`.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -10,7 +10,7 @@
 pub const REQUEST_ID: &str = "x-request-id";
 /// Gateway → caller: typed outcome, see [`crate::Outcome`].
 pub const OUTCOME: &str = "x-outcome";
-/// Gateway → caller: bundle revision that decided.
+/// Gateway → caller: revision of the bundle that the daemon applied.
 pub const REVISION: &str = "x-revision";
 /// Gateway → caller: back end that answered.
 pub const BACKEND: &str = "x-backend";
--- a/crates/coursestand-model/src/ids.rs
+++ b/crates/coursestand-model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers as distinct types, so that a zone is never taken for a region.
+//! Identifiers as distinct types, so that a zone can't be passed as a region.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -40,7 +40,7 @@
     RegionId
 );
 string_id!(
-    /// A zone: the place between which traffic shares move.
+    /// A zone: a location of back ends and clients, between which traffic shares move.
     ZoneId
 );
 string_id!(
@@ -48,12 +48,12 @@
     ServiceId
 );
 string_id!(
-    /// One back end, as the platform list names it.
+    /// A back end, by its name in the platform list.
     BackendId
 );
 
-/// One run of a daemon. A restart has the same name and a new incarnation, and
-/// so counts as another holder of leases than the run before.
+/// One incarnation of a daemon. After a restart the name is the same and the incarnation is
+/// new, so that it counts as another holder of leases.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
--- a/crates/coursestand-model/src/lib.rs
+++ b/crates/coursestand-model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared vocabulary of coursestand: identifiers, settings, policy bundles and
-//! the typed values that processes exchange. This package does no I/O except
-//! reading JSON files on behalf of [`load`].
+//! Data model of coursestand: identifiers, settings, policy bundles and the typed values
+//! that processes exchange. This package does no I/O except for reading JSON files in
+//! [`load`].
 
 pub mod bundle;
 pub mod fleet;
@@ -18,8 +18,8 @@
 pub use outcome::Outcome;
 pub use span::Span;
 
-/// A length of time or a point on a monotonic clock, in milliseconds.
+/// A duration or a point on a monotonic clock, in milliseconds.
 pub type Millis = u64;
 
-/// Shares of traffic are counted in basis points: 10,000 is all of it.
+/// All traffic. Shares are in basis points, so 10,000 is 100 %.
 pub const FULL_SHARE: u32 = 10_000;
--- a/crates/coursestand-model/src/load.rs
+++ b/crates/coursestand-model/src/load.rs
@@ -6,19 +6,19 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-/// Why a JSON document was refused.
+/// Reason for which a JSON document is rejected.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum LoadError {
     /// The file could not be read.
     #[snafu(display("{}: cannot be read: {source}", file.display()))]
     Read {
-        /// File that was asked for.
+        /// Path of the file.
         file: PathBuf,
         /// Cause.
         source: std::io::Error,
     },
-    /// The text is not JSON of the expected shape.
+    /// The text is not JSON of the expected structure.
     #[snafu(display("{origin}: field `{path}`: {source}"))]
     Shape {
         /// File or other origin of the text.
@@ -28,7 +28,7 @@
         /// Cause, with what was found and what is allowed.
         source: serde_json::Error,
     },
-    /// A field has the right shape and a value that is not allowed.
+    /// A field has the right type, but a value that is not allowed.
     #[snafu(display("{origin}: field `{path}`: found {found}, allowed: {allowed}"))]
     Value {
         /// File or other origin of the text.
@@ -54,7 +54,7 @@
 }
 
 impl InvalidValue {
-    /// Makes the description of one refused field.
+    /// Describes a field that is rejected.
     pub fn new(
         path: impl Into<String>,
         found: impl ToString,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A document that checks its own values after it has been parsed.
+/// A document that validates its values after it has been parsed.
 pub trait Validate {
     /// Returns the first value that is not allowed.
     fn validate(&self) -> Result<(), InvalidValue>;
--- a/crates/coursestand-model/src/outcome.rs
+++ b/crates/coursestand-model/src/outcome.rs
@@ -1,14 +1,13 @@
-//! The typed outcome of a request. It alone decides the status, the headers and
-//! whether a retry is allowed.
+//! Typed outcome of a request. It decides whether a retry is allowed.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// No byte of the request was left at a back end, or the back end itself
-    /// said that it did not start it. Always safe to send again.
+    /// No byte of the request reached a back end, or the back end reported that it did not
+    /// start the request. Always safe to retry.
     NotRun,
     /// The request may have run.
     Unknown,
@@ -17,7 +16,7 @@
 }
 
 impl Outcome {
-    /// The value of the [`crate::headers::OUTCOME`] header.
+    /// Returns the value for the [`crate::headers::OUTCOME`] header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not-run",
@@ -26,15 +25,15 @@
         }
     }
 
-    /// Reads the value of the [`crate::headers::OUTCOME`] header.
+    /// Parses the value of the [`crate::headers::OUTCOME`] header.
     pub fn parse(text: &str) -> Option<Outcome> {
         [Outcome::NotRun, Outcome::Unknown, Outcome::Completed]
             .into_iter()
             .find(|outcome| outcome.as_str() == text)
     }
 
-    /// Whether the same request may be dispatched again. `repeatable` says that
-    /// the service allows a request to run more than once.
+    /// Returns whether the request may be dispatched again. `repeatable`: the service allows
+    /// a request to run more than once.
     pub fn allows_retry(self, repeatable: bool) -> bool {
         match self {
             Outcome::NotRun => true,
--- a/crates/coursestand-model/src/platform.rs
+++ b/crates/coursestand-model/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform list: the published, lagging list of live and leaving machines.
+//! Platform list: the list of live and leaving machines that the platform publishes with
+//! some delay.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,16 +7,16 @@
 use crate::ids::{BackendId, ServiceId, ZoneId};
 use crate::load::{InvalidValue, Validate};
 
-/// Whether a back end takes new work. The order matters: within one epoch a
-/// back end only moves to a later state.
+/// Whether a back end accepts new requests. The order of the variants matters: within an
+/// epoch a back end only moves to a later state.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendState {
-    /// Takes new work.
+    /// Accepts new requests.
     Live,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its requests in flight and accepts no new ones.
     Leaving,
 }
 
@@ -31,21 +32,21 @@
     pub zone: ZoneId,
     /// `IP:port` of its HTTP interface.
     pub address: String,
-    /// Requests that it runs at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Grows with each start of the back end.
+    /// Number that grows with each start of the back end.
     pub epoch: u64,
-    /// State as the platform last knew it.
+    /// Last state that the platform observed.
     pub state: BackendState,
 }
 
-/// The whole platform list, as `GET /v1/backends` answers it.
+/// The platform list, as returned by `GET /v1/backends`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformList {
-    /// All machines that the platform knows.
+    /// All machines of the platform.
     pub backends: Vec<PlatformBackend>,
 }
 
--- a/crates/coursestand-model/src/settings.rs
+++ b/crates/coursestand-model/src/settings.rs
@@ -20,7 +20,7 @@
     pub data_folder: PathBuf,
     /// URL of the platform list, such as `http://127.0.0.1:9000/v1/backends`.
     pub platform_list: Option<String>,
-    /// How often the platform list is read, in milliseconds.
+    /// Interval at which the platform list is read, in milliseconds.
     #[serde(default = "default_platform_poll_ms")]
     pub platform_poll_ms: Millis,
     /// Address of the operators' HTTP interface of this replica.
@@ -33,9 +33,10 @@
 pub struct EntrySettings {
     /// Address on which callers reach this daemon.
     pub listen: SocketAddr,
-    /// Address that look-ups give to callers; the listen address by default.
+    /// Address that look-ups return to callers; the listen address by default.
     pub advertise: Option<SocketAddr>,
-    /// How often each back end on which this daemon holds slots is probed.
+    /// Interval at which each back end on which this daemon has slots is probed, in
+    /// milliseconds.
     #[serde(default = "default_probe_ms")]
     pub probe_ms: Millis,
 }
@@ -52,14 +53,14 @@
     pub admin_listen: SocketAddr,
     /// Addresses of the control replicas that this daemon follows.
     pub control: Vec<SocketAddr>,
-    /// Set when this daemon is a control replica.
+    /// Settings of the control role; set if this daemon is a control replica.
     pub control_role: Option<ControlSettings>,
-    /// Set when this daemon is an entry daemon.
+    /// Settings of the entry role; set if this daemon is an entry daemon.
     pub entry_role: Option<EntrySettings>,
     /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_log_level")]
     pub log_level: String,
-    /// Longest time that a planned stop waits for requests in flight.
+    /// Maximum time that a planned stop waits for requests in flight, in milliseconds.
     #[serde(default = "default_stop_ms")]
     pub stop_ms: Millis,
 }
--- a/crates/coursestand-model/src/span.rs
+++ b/crates/coursestand-model/src/span.rs
@@ -1,4 +1,4 @@
-//! Lengths of time in settings and configuration: a number with its unit.
+//! Durations in settings and configuration, written as a number with its unit.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,12 +11,12 @@
 
 use crate::Millis;
 
-/// A length of time, written as `1500ms` or `2.5s`.
+/// A duration, written as `1500ms` or `2.5s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, JsonSchema)]
 #[schemars(with = "String")]
 pub struct Span(pub Millis);
 
-/// A text that is not a length of time.
+/// The text is not a valid duration.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("found `{text}`, allowed: a number followed by `ms` or `s`"))]
 pub struct SpanError {
@@ -25,7 +25,7 @@
 }
 
 impl Span {
-    /// The length of time.
+    /// Returns the duration as [`Duration`].
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -43,8 +43,8 @@
             None => (text.strip_suffix('s').ok_or_else(failed)?, 1000.0),
         };
         let value: f64 = number.trim().parse().map_err(|_| failed())?;
-        let is_sound = value.is_finite() && value >= 0.0;
-        if !is_sound {
+        let is_valid = value.is_finite() && value >= 0.0;
+        if !is_valid {
             return Err(failed());
         }
         Ok(Span((value * factor).round() as Millis))
--- a/crates/coursestand-model/tests/fleet_settings.rs
+++ b/crates/coursestand-model/tests/fleet_settings.rs
@@ -40,8 +40,8 @@
 }
 
 #[gtest]
-fn a_setting_that_is_gone_is_refused_with_what_replaces_it() {
-    let error = read(json!({ "soft_load": 1.2 })).expect_err("refused");
+fn a_removed_setting_is_rejected_with_its_replacement() {
+    let error = read(json!({ "soft_load": 1.2 })).expect_err("rejected");
     let text = error.to_string();
     expect_that!(text, contains_substring("edge.json"));
     expect_that!(text, contains_substring("balance.soft_load"));
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn a_hard_load_must_be_above_nothing() {
+fn hard_load_must_be_positive() {
     for hard_load in [0.0, -1.0] {
         let result = read(json!({ "hard_load": hard_load }));
         expect_that!(result.is_err(), eq(true));
