--- a/crates/coursestand-daemon/src/fleet/hub/edges.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/edges.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError};
 
 use bytes::Bytes;
-use coursestand_discovery::directory::WITNESS_SILENCE_MS;
+use coursestand_discovery::directory::OBSERVER_TIMEOUT_MS;
 use coursestand_discovery::{EdgeRecord, LinkUse};
 use coursestand_model::{Millis, RegionId, ZoneId};
 use coursestand_transport::frame::encode;
@@ -141,7 +141,9 @@
     /// Records that another entry daemon found the suspect one ready.
     pub fn confirm_edge_ready(&self, name: &str, incarnation: u64) {
         let now = self.clock.now();
-        self.state().directory.vouch(now, name, incarnation);
+        self.state()
+            .directory
+            .note_reachable(now, name, incarnation);
     }
 
     /// Sends a probe request for each suspect to a connected entry daemon, chosen at random
@@ -181,7 +183,7 @@
             .peers
             .iter()
             .filter(|(_, last_received_at)| {
-                now.saturating_sub(**last_received_at) > WITNESS_SILENCE_MS
+                now.saturating_sub(**last_received_at) > OBSERVER_TIMEOUT_MS
             })
             .map(|(peer, _)| *peer)
             .collect();
@@ -190,7 +192,7 @@
         }
         for peer in silent {
             state.peers.remove(&peer);
-            state.directory.drop_witness(peer);
+            state.directory.remove_observer(peer);
         }
         drop(state);
         self.publish_edges();
--- a/crates/coursestand-daemon/src/fleet/hub/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coursestand_discovery::{Directory, Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::{Directory, Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_kernel::MonotonicClock;
 use coursestand_model::{BackendId, Millis, ServiceId, ZoneId};
 use coursestand_transport::frame::encode;
@@ -140,7 +140,7 @@
 
     /// Handles a heartbeat. An order to leave succeeds once a majority of the control processes
     /// has it: every entry daemon is connected with one of these.
-    pub async fn heartbeat(&self, update: InstanceNews) -> Result<(), NotReplicated> {
+    pub async fn heartbeat(&self, update: InstanceUpdate) -> Result<(), NotReplicated> {
         let now = self.clock.now();
         let id = update.instance.id.clone();
         let is_leaving = update.instance.phase != InstancePhase::Ready;
@@ -149,7 +149,11 @@
         if !is_leaving {
             return Ok(());
         }
-        let entry = self.state().instances.get(&id).map(|entry| entry.news(now));
+        let entry = self
+            .state()
+            .instances
+            .get(&id)
+            .map(|entry| entry.to_update(now));
         match entry {
             Some(update) => self.replicate_to_majority(update).await,
             None => Err(NotReplicated),
@@ -164,7 +168,11 @@
         born: Option<Millis>,
     ) -> Result<(), NotReplicated> {
         let now = self.clock.now();
-        let entry = self.state().instances.get(id).map(|entry| entry.news(now));
+        let entry = self
+            .state()
+            .instances
+            .get(id)
+            .map(|entry| entry.to_update(now));
         let mut update = entry.unwrap_or_else(|| placeholder_instance(id));
         update.instance.born = born.or(update.instance.born);
         update.instance.phase = InstancePhase::Gone;
@@ -173,13 +181,13 @@
     }
 
     /// Merges updates from another control process.
-    pub fn merge_peer_updates(&self, updates: Vec<InstanceNews>) {
+    pub fn merge_peer_updates(&self, updates: Vec<InstanceUpdate>) {
         self.merge(self.clock.now(), updates);
     }
 
     /// Merges updates from a back end and broadcasts the changes to the other control
     /// processes.
-    fn merge_and_broadcast(&self, now: Millis, updates: Vec<InstanceNews>) {
+    fn merge_and_broadcast(&self, now: Millis, updates: Vec<InstanceUpdate>) {
         let changed = self.merge(now, updates);
         if let Some(links) = self.links()
             && !changed.is_empty()
@@ -193,21 +201,21 @@
     }
 
     /// Merges updates, publishes the changed back ends to entry daemons, and returns them.
-    fn merge(&self, now: Millis, updates: Vec<InstanceNews>) -> Vec<InstanceNews> {
+    fn merge(&self, now: Millis, updates: Vec<InstanceUpdate>) -> Vec<InstanceUpdate> {
         let mut changed = Vec::new();
         {
             let mut state = self.state();
             for update in updates {
                 let ids = state.instances.merge(now, update);
                 let entries = ids.iter().filter_map(|id| state.instances.get(id));
-                changed.extend(entries.map(|entry| entry.news(now)));
+                changed.extend(entries.map(|entry| entry.to_update(now)));
             }
         }
         self.publish_changes(&changed);
         changed
     }
 
-    fn publish_changes(&self, changed: &[InstanceNews]) {
+    fn publish_changes(&self, changed: &[InstanceUpdate]) {
         if changed.is_empty() {
             return;
         }
@@ -253,7 +261,7 @@
     }
 
     /// Returns once a majority of the control processes has acknowledged the update.
-    async fn replicate_to_majority(&self, update: InstanceNews) -> Result<(), NotReplicated> {
+    async fn replicate_to_majority(&self, update: InstanceUpdate) -> Result<(), NotReplicated> {
         let members = self.controls.borrow().members.clone();
         let Some(links) = self.links() else {
             return Err(NotReplicated);
@@ -282,7 +290,7 @@
         let now = self.clock.now();
         let mut state = self.state();
         for id in ids {
-            state.instances.heard(now, id);
+            state.instances.note_remote_contact(now, id);
         }
     }
 
@@ -291,7 +299,7 @@
     pub fn subscribe(
         &self,
         subscriptions: EdgeSubscriptions,
-    ) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceNews>) {
+    ) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceUpdate>) {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (frames, queue) = mpsc::channel(SUBSCRIBER_QUEUE_FRAMES);
         let subscriber = EdgeSubscriber {
@@ -315,13 +323,13 @@
             .remove(&number);
     }
 
-    fn all_instances(&self) -> Vec<InstanceNews> {
+    fn all_instances(&self) -> Vec<InstanceUpdate> {
         let now = self.clock.now();
         let state = self.state();
         state
             .instances
             .iter()
-            .map(|entry| entry.news(now))
+            .map(|entry| entry.to_update(now))
             .collect()
     }
 
@@ -334,7 +342,7 @@
             receipt: None,
         }];
         let state = self.state();
-        for record in state.directory.seen_by(self.local_address) {
+        for record in state.directory.connected_with(self.local_address) {
             messages.push(PeerMessage::Edge {
                 record: record.clone(),
                 is_connected: true,
@@ -362,11 +370,11 @@
 
     fn expire_instances(&self, now: Millis) {
         let silence = MAX_MISSED_HEARTBEATS * self.heartbeat;
-        let ended: Vec<InstanceNews> = {
+        let ended: Vec<InstanceUpdate> = {
             let mut state = self.state();
             let ids = state.instances.expire(now, silence);
             let entries = ids.iter().filter_map(|id| state.instances.get(id));
-            entries.map(|entry| entry.news(now)).collect()
+            entries.map(|entry| entry.to_update(now)).collect()
         };
         self.publish_changes(&ended);
     }
@@ -403,7 +411,7 @@
                     "born": entry.instance.born,
                     "sequence": entry.instance.sequence,
                     "cold_ms": entry.cold_until.saturating_sub(now),
-                    "heard_ms_ago": now.saturating_sub(entry.heard_at),
+                    "heard_ms_ago": now.saturating_sub(entry.last_contact_at),
                 })
             })
             .collect();
@@ -421,8 +429,8 @@
 }
 
 /// Returns a placeholder for a back end that stops without being known here.
-fn placeholder_instance(id: &BackendId) -> InstanceNews {
-    InstanceNews {
+fn placeholder_instance(id: &BackendId) -> InstanceUpdate {
+    InstanceUpdate {
         instance: Instance {
             id: id.clone(),
             born: None,
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coursestand_consensus::{Membership, Message, ReplicaId};
-use coursestand_discovery::InstanceNews;
+use coursestand_discovery::InstanceUpdate;
 use coursestand_kernel::Tasks;
 use coursestand_transport::stream::{self, StreamError};
 use log::{debug, info};
@@ -119,7 +119,7 @@
     pub async fn send_confirmed(
         &self,
         address: SocketAddr,
-        updates: Vec<InstanceNews>,
+        updates: Vec<InstanceUpdate>,
         timeout: Duration,
     ) -> bool {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -5,7 +5,7 @@
 
 use coursestand_catalog::CatalogDelta;
 use coursestand_coordination::{Command, CommandAnswer};
-use coursestand_discovery::{EdgeRecord, InstanceNews, LinkUse};
+use coursestand_discovery::{EdgeRecord, InstanceUpdate, LinkUse};
 use coursestand_model::{BackendId, Millis};
 use coursestand_routing::rate_limit::{TokenRequest, TokenVerdict};
 use coursestand_routing::{RateLimitUpdate, SharedCrashRecord, SharedFinding, TrialVerdict};
@@ -99,12 +99,12 @@
 
 impl StartTimes {
     /// Collects the start times of these updates.
-    pub fn of(updates: &[InstanceNews]) -> StartTimes {
+    pub fn of(updates: &[InstanceUpdate]) -> StartTimes {
         StartTimes(updates.iter().map(|update| update.instance.born).collect())
     }
 
     /// Returns the updates with their start times filled in.
-    pub fn join(self, mut updates: Vec<InstanceNews>) -> Vec<InstanceNews> {
+    pub fn join(self, mut updates: Vec<InstanceUpdate>) -> Vec<InstanceUpdate> {
         for (update, born) in updates.iter_mut().zip(self.0) {
             update.instance.born = born;
         }
@@ -129,7 +129,7 @@
     /// Updates of back ends; acknowledged with `Received` if there is a receipt number.
     Instances {
         /// The updates.
-        updates: Vec<InstanceNews>,
+        updates: Vec<InstanceUpdate>,
         /// Receipt number, if the sender waits for an acknowledgement.
         receipt: Option<u64>,
         /// Start times of the updated incarnations.
@@ -259,7 +259,7 @@
     /// A part of the catalog changes that the entry daemon requested.
     CatalogPart(CatalogPart),
     /// Updates of back ends, and the start times of their incarnations.
-    Instances(Vec<InstanceNews>, StartTimes),
+    Instances(Vec<InstanceUpdate>, StartTimes),
     /// Changes of the set of connected entry daemons since the last such message on this
     /// connection; the set is empty at first.
     Edges(EdgeChanges),
--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashMap;
 
-use coursestand_discovery::table::Known;
-use coursestand_discovery::{Instance, InstanceNews, InstancePhase, InstanceTable};
+use coursestand_discovery::table::KnownInstance;
+use coursestand_discovery::{Instance, InstancePhase, InstanceTable, InstanceUpdate};
 use coursestand_model::{BackendId, Millis, ServiceId};
 
 use crate::backoff::Backoff;
@@ -89,7 +89,7 @@
 }
 
 impl Backend {
-    fn new(update: InstanceNews, now: Millis) -> Backend {
+    fn new(update: InstanceUpdate, now: Millis) -> Backend {
         Backend {
             hash: hash_of(update.instance.id.as_str()),
             incarnation_hash: incarnation_hash_of(&update.instance),
@@ -199,7 +199,7 @@
 
 impl Backends {
     /// Merges an update of an instance. Returns whether anything changed.
-    pub fn merge(&mut self, now: Millis, update: InstanceNews) -> bool {
+    pub fn merge(&mut self, now: Millis, update: InstanceUpdate) -> bool {
         let changed = self.table.adopt(now, update);
         for id in &changed {
             self.refresh(now, id);
@@ -235,8 +235,8 @@
         }
     }
 
-    fn insert(&mut self, now: Millis, known: &Known) {
-        let backend = Backend::new(known.news(now), now);
+    fn insert(&mut self, now: Millis, known: &KnownInstance) {
+        let backend = Backend::new(known.to_update(now), now);
         let id = backend.instance.id.clone();
         let service = backend.instance.service.clone();
         self.by_service.entry(service).or_default().push(id.clone());
@@ -344,7 +344,7 @@
     /// over the state that control processes announce for this incarnation. Returns whether
     /// the report is new.
     pub fn note_draining(&mut self, now: Millis, id: &BackendId) -> bool {
-        let is_new = self.table.drain(id);
+        let is_new = self.table.mark_draining(id);
         self.refresh(now, id);
         is_new
     }
@@ -483,7 +483,7 @@
     /// back end may report a wrong identity, and one such answer must not remove it for good.
     pub fn note_misdirected(&mut self, now: Millis, id: &BackendId) {
         if self.shares_address(id) {
-            self.table.end(now, id);
+            self.table.mark_gone(now, id);
             self.remove(id);
         } else {
             self.note_unreachable(now, id);
