--- a/crates/coursestand-cli/src/commands/demo.rs
+++ b/crates/coursestand-cli/src/commands/demo.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use coursestand_lab::address::AddressBook;
+use coursestand_lab::address::AddressAllocator;
 use coursestand_lab::demo::run_demo;
 use coursestand_lab::deployment::{Deployment, coop, hut};
 use coursestand_lab::load::LoadPlan;
@@ -22,7 +22,7 @@
 const PATIENCE: Duration = Duration::from_secs(8);
 
 /// Makes a deployment by its name.
-pub fn deployment_of(name: &str) -> Result<fn(&mut AddressBook) -> Deployment, ToolError> {
+pub fn deployment_of(name: &str) -> Result<fn(&mut AddressAllocator) -> Deployment, ToolError> {
     match name {
         "hut" => Ok(hut),
         "coop" => Ok(coop),
@@ -47,7 +47,7 @@
     Ok(LoadPlan {
         rate,
         duration: Duration::from_secs(seconds),
-        patience: PATIENCE,
+        timeout: PATIENCE,
         seed,
         run: run.to_owned(),
     })
@@ -61,7 +61,7 @@
         println!("{figures}");
     }
     ensure!(
-        figures.verdict.is_good() && figures.answered > 0,
+        figures.verdict.has_no_violations() && figures.answered > 0,
         BrokenPromiseSnafu
     );
     Ok(())
--- a/crates/coursestand-cli/src/commands/lab.rs
+++ b/crates/coursestand-cli/src/commands/lab.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use coursestand_lab::Deployment;
-use coursestand_lab::address::AddressBook;
+use coursestand_lab::address::AddressAllocator;
 use coursestand_lab::callers::Caller;
-use coursestand_lab::demo::World;
+use coursestand_lab::demo::Simulation;
+use coursestand_lab::latencies::Latencies;
 use coursestand_lab::load::run_load;
-use coursestand_lab::places::Latencies;
 use coursestand_lab::records::Record;
 use coursestand_lab::report::figures;
 use coursestand_model::load::load;
@@ -35,7 +35,7 @@
 
 fn prepare(options: &PrepareOptions) -> Result<(), ToolError> {
     let make = deployment_of(&options.deployment)?;
-    let mut addresses = AddressBook::fixed(options.port);
+    let mut addresses = AddressAllocator::fixed(options.port);
     let deployment = make(&mut addresses);
     let folder = &options.folder;
     std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
@@ -55,7 +55,7 @@
 /// Runs until it is told to end.
 async fn world(options: &WorldOptions) -> Result<(), ToolError> {
     let deployment: Deployment = load(&options.deployment).context(LoadSnafu)?;
-    let world = World::start(deployment).await.context(DemoSnafu)?;
+    let world = Simulation::start(deployment).await.context(DemoSnafu)?;
     println!(
         "{} back ends; platform list at {}",
         world.backends.len(),
--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_telling.rs
@@ -53,7 +53,7 @@
 
     fn add_routes(&mut self, count: usize) {
         let version = self.catalog.version() + 1;
-        let routes = items::written_routes("s", self.routes, count, version);
+        let routes = items::realistic_routes("s", self.routes, count, version);
         self.routes += count;
         self.merge(routes, version);
     }
--- a/crates/coursestand-daemon/tests/common/mod.rs
+++ b/crates/coursestand-daemon/tests/common/mod.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use coursestand_coordination::bundles::{OrderAction, SubmitAnswer};
-use coursestand_lab::address::AddressBook;
-use coursestand_lab::callers::{Caller, Finished};
-use coursestand_lab::demo::{World, put_first_bundle_in_force, test_operator};
+use coursestand_lab::address::AddressAllocator;
+use coursestand_lab::callers::{Caller, FinishedRequest};
+use coursestand_lab::demo::{Simulation, put_first_bundle_in_force, test_operator};
 use coursestand_lab::deployment::{Deployment, hut};
 use coursestand_lab::load::{LoadPlan, run_load};
 use coursestand_lab::operator::{Operator, StatusAnswer};
@@ -22,7 +22,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 pub struct Fleet {
-    pub world: World,
+    pub world: Simulation,
     pub settings: Vec<DaemonSettings>,
     pub operator: Operator,
     processes: Vec<Option<Child>>,
@@ -33,8 +33,8 @@
 pub fn deployment(
     daemons: usize,
     change: impl FnOnce(&mut Deployment),
-) -> (Deployment, AddressBook) {
-    let mut addresses = AddressBook::take().expect("a free address");
+) -> (Deployment, AddressAllocator) {
+    let mut addresses = AddressAllocator::reserve().expect("a free address");
     let mut deployment = hut(&mut addresses);
     deployment.daemons = daemons;
     deployment.bundle.lookup.lifetime_ms = 1_000;
@@ -59,7 +59,9 @@
         for one in &mut settings {
             one.log_level = std::env::var("COURSESTAND_TEST_LOG").unwrap_or("error".to_owned());
         }
-        let world = World::start(deployment).await.expect("the world starts");
+        let world = Simulation::start(deployment)
+            .await
+            .expect("the world starts");
         let operator = test_operator(&settings);
         let processes = settings.iter().map(|_| None).collect();
         let mut fleet = Fleet {
@@ -159,11 +161,11 @@
         Arc::new(self.world.caller(&self.settings))
     }
 
-    pub async fn load(&self, run: &str, rate: f64, seconds: u64) -> Vec<Finished> {
+    pub async fn load(&self, run: &str, rate: f64, seconds: u64) -> Vec<FinishedRequest> {
         let plan = LoadPlan {
             rate,
             duration: Duration::from_secs(seconds),
-            patience: Duration::from_secs(15),
+            timeout: Duration::from_secs(15),
             seed: 11,
             run: run.to_owned(),
         };
@@ -221,7 +223,7 @@
 }
 
 /// Prints what callers and back ends saw, for a failing test.
-pub fn describe(fleet: &Fleet, finished: &[Finished]) -> String {
+pub fn describe(fleet: &Fleet, finished: &[FinishedRequest]) -> String {
     let records = fleet.world.records.all();
     let figures =
         coursestand_lab::report::figures(&fleet.world.deployment.bundle, finished, &records);
--- a/crates/coursestand-daemon/tests/fleet/fatal_requests.rs
+++ b/crates/coursestand-daemon/tests/fleet/fatal_requests.rs
@@ -39,7 +39,7 @@
         served += usize::from(status == 200);
         tokio::time::sleep(PAUSE).await;
     }
-    let ended = backends.iter().filter(|backend| backend.has_ended());
+    let ended = backends.iter().filter(|backend| backend.has_crashed());
     expect_that!(ended.count(), le(MOST_ENDS));
     expect_that!(served, ge(REQUESTS * 9 / 10));
     for edge in EDGES {
@@ -88,7 +88,7 @@
             ask_everywhere(&deployment, &format!("{round}-{again}")).await;
         }
     }
-    let ended = backends.iter().filter(|backend| backend.has_ended());
+    let ended = backends.iter().filter(|backend| backend.has_crashed());
     expect_that!(ended.count(), le(MOST_ENDS_IN_ALL));
     let status = deployment.request(EDGE, "/a/other", "other").await;
     expect_that!(status, eq(200));
@@ -105,7 +105,7 @@
 async fn deadly_backends(deployment: &Deployment, count: usize) -> Vec<ScriptedBackend> {
     let mut backends = Vec::new();
     for number in 0..count {
-        let started = ScriptedBackend::start(vec![], Behaviour::EndUnder("deadly")).await;
+        let started = ScriptedBackend::start(vec![], Behaviour::CrashOn("deadly")).await;
         let backend = started.expect("a back end");
         let news = heartbeat_of(
             &format!("i-{number}"),
--- a/crates/coursestand-daemon/tests/fleet/large_change.rs
+++ b/crates/coursestand-daemon/tests/fleet/large_change.rs
@@ -31,7 +31,7 @@
 
 async fn add_routes(deployment: &Deployment, first: usize) {
     let patch = Patch {
-        upserts: items::written_routes("s", first, ROUTES, 2),
+        upserts: items::realistic_routes("s", first, ROUTES, 2),
         removals: Vec::new(),
     };
     expect_that!(deployment.patch(&[1], &patch).await, eq(200));
--- a/crates/coursestand-daemon/tests/following/large_change.rs
+++ b/crates/coursestand-daemon/tests/following/large_change.rs
@@ -55,7 +55,7 @@
 
 fn many_routes(first: usize, version: u64) -> Patch {
     Patch {
-        upserts: items::written_routes("s", first, ROUTES, version),
+        upserts: items::realistic_routes("s", first, ROUTES, version),
         removals: Vec::new(),
     }
 }
--- a/crates/coursestand-daemon/tests/following/late_requests.rs
+++ b/crates/coursestand-daemon/tests/following/late_requests.rs
@@ -128,7 +128,7 @@
     let controls = controls(DELAY).await;
     let link = Arc::new(NarrowLink::new(LINK_BYTES_PER_SECOND));
     let first = vec![Behaviour::Slow(FIRST_TAKE); FIRST_REQUESTS];
-    let backend = ScriptedBackend::start(first, Behaviour::Silence).await;
+    let backend = ScriptedBackend::start(first, Behaviour::NeverAnswer).await;
     let backend = backend.expect("a back end");
     for control in &controls {
         control.set_link(&link);
--- a/crates/coursestand-daemon/tests/repeats/main.rs
+++ b/crates/coursestand-daemon/tests/repeats/main.rs
@@ -49,7 +49,11 @@
     let outcomes = names.iter().map(|name| run(name));
     let outcomes = futures::future::join_all(outcomes).await;
     for (name, outcome) in names.iter().zip(outcomes) {
-        expect_that!(outcome.worst.is_over(), eq(false), "{name}: {outcome:?}");
+        expect_that!(
+            outcome.worst.exceeds_bound(),
+            eq(false),
+            "{name}: {outcome:?}"
+        );
     }
 }
 
@@ -108,6 +112,10 @@
     for name in ["deadly-daemons-killed-in-turn", "deadly-both-killed"] {
         let outcome = run(name).await;
         expect_that!(outcome.ended, le(MOST_ENDS), "{name}: {outcome:?}");
-        expect_that!(outcome.worst.is_over(), eq(false), "{name}: {outcome:?}");
+        expect_that!(
+            outcome.worst.exceeds_bound(),
+            eq(false),
+            "{name}: {outcome:?}"
+        );
     }
 }
--- a/crates/coursestand-daemon/tests/repeats/play.rs
+++ b/crates/coursestand-daemon/tests/repeats/play.rs
@@ -47,7 +47,7 @@
 
 /// The rate limit that those back ends name, in requests a second.
 pub const LIMIT_PER_SECOND: f64 = 5.0;
-const NAMES_LIMIT: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 5.0\r\n");
+const NAMES_LIMIT: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 5.0\r\n");
 
 /// Path of the request that ends back ends.
 const DEADLY: &str = "/safe/deadly";
@@ -190,10 +190,10 @@
                 let half = self.backends.len() / 2;
                 self.backends[..half]
                     .iter()
-                    .for_each(ScriptedBackend::stand_still);
+                    .for_each(ScriptedBackend::suspend);
             }
             Event::ContinueBackends => {
-                self.backends.iter().for_each(ScriptedBackend::go_on);
+                self.backends.iter().for_each(ScriptedBackend::resume);
             }
         }
     }
@@ -201,7 +201,7 @@
     fn arrived(&self) -> Vec<Arrival> {
         self.backends
             .iter()
-            .flat_map(ScriptedBackend::arrived)
+            .flat_map(ScriptedBackend::recorded_arrivals)
             .collect()
     }
 }
@@ -219,7 +219,7 @@
 }
 
 fn arrivals_at(backend: &ScriptedBackend) -> Vec<Instant> {
-    let arrived = backend.arrived();
+    let arrived = backend.recorded_arrivals();
     arrived.into_iter().map(|arrival| arrival.at).collect()
 }
 
@@ -229,13 +229,13 @@
         Backends::Lose(percent) => {
             let mut random = StdRng::seed_from_u64(number as u64);
             let script = (0..SCRIPT).map(|_| match random.random_range(0..100) {
-                drawn if drawn < percent => Behaviour::Lose,
+                drawn if drawn < percent => Behaviour::CloseWithoutAnswer,
                 _ => Behaviour::Answer(200),
             });
             ScriptedBackend::start(script.collect(), Behaviour::Answer(200)).await
         }
         Backends::EndUnderOneOf(_) => {
-            ScriptedBackend::start(vec![], Behaviour::EndUnder(DEADLY)).await
+            ScriptedBackend::start(vec![], Behaviour::CrashOn(DEADLY)).await
         }
         Backends::NameLimit(limited) if number < limited => {
             ScriptedBackend::start(vec![], NAMES_LIMIT).await
@@ -373,7 +373,7 @@
             extra: self.extra,
         };
         let outcome = self.run_in(&mut world).await;
-        if outcome.worst.is_over() || std::env::var_os("COURSESTAND_KEEP_LOGS").is_some() {
+        if outcome.worst.exceeds_bound() || std::env::var_os("COURSESTAND_KEEP_LOGS").is_some() {
             let folder = &mut world.deployment.folder;
             folder.disable_cleanup(true);
             println!("{}: logs in {}", self.name, folder.path().display());
@@ -431,7 +431,7 @@
             ended: world
                 .backends
                 .iter()
-                .filter(|backend| backend.has_ended())
+                .filter(|backend| backend.has_crashed())
                 .count(),
             started,
             arrivals: world.backends.iter().map(arrivals_at).collect(),
--- a/crates/coursestand-daemon/tests/request_path.rs
+++ b/crates/coursestand-daemon/tests/request_path.rs
@@ -10,8 +10,8 @@
 use common::{Fleet, describe};
 use coursestand_lab::Deployment;
 use coursestand_lab::backend::{TOKEN, WORK_MS};
-use coursestand_lab::callers::{Finding, Finished};
-use coursestand_lab::load::errand;
+use coursestand_lab::callers::{FinishedRequest, RequestOutcome};
+use coursestand_lab::load::default_request;
 use coursestand_lab::verdict::check;
 use coursestand_model::headers;
 use googletest::prelude::*;
@@ -22,13 +22,13 @@
     seconds: u64,
     delay: Duration,
     fault: impl AsyncFnOnce(&mut Fleet),
-) -> Vec<Finished> {
+) -> Vec<FinishedRequest> {
     let caller = fleet.caller();
     let deployment = fleet.world.deployment.clone();
     let plan = coursestand_lab::load::LoadPlan {
         rate: 120.0,
         duration: Duration::from_secs(seconds),
-        patience: Duration::from_secs(20),
+        timeout: Duration::from_secs(20),
         seed: 11,
         run: "load".to_owned(),
     };
@@ -43,10 +43,10 @@
 /// Connections of one daemon to one back end: slots in use, idle ones, a probe.
 const CONNECTIONS_PER_DAEMON: u32 = 4 + 4 + 1;
 
-fn assert_kept(fleet: &Fleet, finished: &[Finished]) {
+fn assert_kept(fleet: &Fleet, finished: &[FinishedRequest]) {
     let records = fleet.world.records.all();
     let verdict = check(finished, &records);
-    assert!(verdict.is_good(), "{}", describe(fleet, finished));
+    assert!(verdict.has_no_violations(), "{}", describe(fleet, finished));
     let connections = records.iter().map(|record| record.connections).max();
     let most = CONNECTIONS_PER_DAEMON * fleet.settings.len() as u32;
     assert!(
@@ -55,10 +55,10 @@
     );
 }
 
-fn count(finished: &[Finished], finding: &Finding) -> usize {
+fn count(finished: &[FinishedRequest], finding: &RequestOutcome) -> usize {
     finished
         .iter()
-        .filter(|one| one.finding == *finding)
+        .filter(|one| one.outcome == *finding)
         .count()
 }
 
@@ -77,7 +77,7 @@
     })
     .await;
     assert_kept(&fleet, &finished);
-    let answered = count(&finished, &Finding::Answered);
+    let answered = count(&finished, &RequestOutcome::Answered);
     expect_that!(
         answered * 10,
         ge(finished.len() * 9),
@@ -217,7 +217,7 @@
         }
         // The platform list tells of it later, and with a row that lags.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        fleet.world.tell_platform();
+        fleet.world.update_platform_list();
     })
     .await;
     assert_kept(&fleet, &finished);
@@ -240,7 +240,7 @@
 }
 
 /// Requests of the clients nearest to one daemon that take long.
-async fn long_requests(fleet: &Fleet, daemon: usize, token: &str) -> Vec<Finished> {
+async fn long_requests(fleet: &Fleet, daemon: usize, token: &str) -> Vec<FinishedRequest> {
     let zones = fleet.world.deployment.zones();
     let own = &fleet.settings[daemon].zone;
     let zone = zones.iter().position(|zone| zone == own).expect("known");
@@ -249,7 +249,8 @@
         .map(|number| {
             let client = Deployment::client_address(zone, number);
             let patience = Duration::from_secs(20);
-            let mut one = errand("bunkview", client, &format!("{token}-{number}"), patience);
+            let mut one =
+                default_request("bunkview", client, &format!("{token}-{number}"), patience);
             one.work_ms = Some(800);
             let caller = std::sync::Arc::clone(&caller);
             tokio::spawn(async move { caller.run(one, std::time::Instant::now()).await })
--- a/crates/coursestand-daemon/tests/shifting.rs
+++ b/crates/coursestand-daemon/tests/shifting.rs
@@ -13,8 +13,8 @@
 use coursestand_coordination::bundles::OrderAction;
 use coursestand_coordination::followers::LEASE_MS;
 use coursestand_coordination::tables::DrainTarget;
-use coursestand_lab::callers::Finding;
-use coursestand_lab::load::errand;
+use coursestand_lab::callers::RequestOutcome;
+use coursestand_lab::load::default_request;
 use coursestand_lab::verdict::starts_by_zone;
 use coursestand_model::bundle::Policy;
 use coursestand_model::{Bundle, FULL_SHARE};
@@ -42,7 +42,7 @@
 
 /// Offers requests of one client zone at a fixed rate; nothing is tried again,
 /// so what starts at a zone is its share of what was offered.
-async fn offer(fleet: &Fleet, seconds: u64) -> Vec<Finding> {
+async fn offer(fleet: &Fleet, seconds: u64) -> Vec<RequestOutcome> {
     let caller = fleet.caller();
     let began = Instant::now();
     let mut tasks = Vec::new();
@@ -52,14 +52,14 @@
         let caller = Arc::clone(&caller);
         let token = format!("shift-{number}");
         let patience = Duration::from_millis(900);
-        let one = errand(
+        let one = default_request(
             SERVICE,
             format!("10.1.0.{}", number % 200 + 1),
             &token,
             patience,
         );
         tasks.push(tokio::spawn(async move {
-            caller.run(one, planned).await.finding
+            caller.run(one, planned).await.outcome
         }));
     }
     let mut findings = Vec::new();
@@ -116,7 +116,7 @@
     expect_that!(zones.get(ORIGIN), none(), "the zone is empty: {buckets:?}");
     let unknown = findings
         .iter()
-        .filter(|finding| **finding == Finding::Unknown)
+        .filter(|finding| **finding == RequestOutcome::Unknown)
         .count();
     expect_that!(unknown, eq(0));
 }
@@ -183,13 +183,13 @@
     // What may not move yet is told as not run, and in the end all is served.
     let not_run = findings
         .iter()
-        .filter(|finding| **finding == Finding::NotRun)
+        .filter(|finding| **finding == RequestOutcome::NotRun)
         .count();
     expect_that!(not_run, gt(0));
     let tail = &findings[findings.len() - RATE as usize..];
     let served = tail
         .iter()
-        .filter(|finding| **finding == Finding::Answered)
+        .filter(|finding| **finding == RequestOutcome::Answered)
         .count();
     expect_that!(served * 10, ge(tail.len() * 9), "{buckets:?}");
 }
--- a/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
@@ -16,7 +16,7 @@
 use coursestand_daemon::control::leader::Leader;
 use coursestand_daemon::names;
 use coursestand_kernel::{Registry, Service};
-use coursestand_lab::address::AddressBook;
+use coursestand_lab::address::AddressAllocator;
 use coursestand_lab::deployment::hut;
 use coursestand_model::bundle::Bundle;
 use coursestand_model::platform::PlatformBackend;
@@ -68,7 +68,7 @@
 }
 
 fn bundle_and_backends() -> (Bundle, Vec<PlatformBackend>) {
-    let mut addresses = AddressBook::take().expect("a free address");
+    let mut addresses = AddressAllocator::reserve().expect("a free address");
     let mut deployment = hut(&mut addresses);
     for service in &mut deployment.bundle.services {
         service.deadline_ms = DEADLINE_MS;
--- a/crates/coursestand-daemon/tests/soak/faults.rs
+++ b/crates/coursestand-daemon/tests/soak/faults.rs
@@ -100,7 +100,7 @@
         for relay in &world.relays {
             relay.set(Harm::None);
         }
-        world.backends.iter().for_each(ScriptedBackend::go_on);
+        world.backends.iter().for_each(ScriptedBackend::resume);
         Ok(())
     }
 
@@ -132,7 +132,7 @@
         }
         if self.backends_go_on_at.is_some_and(|until| due(&until)) {
             self.backends_go_on_at = None;
-            world.backends.iter().for_each(ScriptedBackend::go_on);
+            world.backends.iter().for_each(ScriptedBackend::resume);
         }
         let relays: Vec<usize> = self
             .harmed_relays
@@ -178,7 +178,7 @@
     fn stop_backends(&mut self, world: &World) {
         let half = world.backends.len() / 2;
         let backends = &world.backends[..half];
-        backends.iter().for_each(ScriptedBackend::stand_still);
+        backends.iter().for_each(ScriptedBackend::suspend);
         let until = Instant::now() + self.pause(15_000);
         self.backends_go_on_at = self.backends_go_on_at.max(Some(until));
     }
--- a/crates/coursestand-daemon/tests/soak/main.rs
+++ b/crates/coursestand-daemon/tests/soak/main.rs
@@ -75,19 +75,19 @@
     let behaviours = (0..SCRIPT).map(|_| match random.random_range(0..60) {
         0 => Behaviour::Shed,
         1 => Behaviour::UnprovenRefusal,
-        2 => Behaviour::Lose,
-        3 => Behaviour::Cut,
-        4 => Behaviour::CutChunks,
+        2 => Behaviour::CloseWithoutAnswer,
+        3 => Behaviour::TruncatedAnswer,
+        4 => Behaviour::TruncatedChunks,
         5 => Behaviour::UnframedReset,
         6 => Behaviour::Garbage,
         7 => Behaviour::WrongId,
-        8 => Behaviour::Double,
-        9 => Behaviour::Silence,
-        10 => Behaviour::Early,
+        8 => Behaviour::DuplicateAnswer,
+        9 => Behaviour::NeverAnswer,
+        10 => Behaviour::EarlyAnswer,
         11 => Behaviour::Misdirected,
         12..20 => Behaviour::Slow(Duration::from_millis(150)),
         // Short, so that some back end is left for the requests.
-        59 => Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 0.05\r\n"),
+        59 => Behaviour::ShedWithHeaders("x-load: 0,0,4\r\nretry-after: 0.05\r\n"),
         _ => Behaviour::Answer(200),
     });
     behaviours.collect()
@@ -294,10 +294,13 @@
     backends: &[ScriptedBackend],
     shape: &Shape,
 ) -> std::result::Result<(), String> {
-    let arrived: Vec<Arrival> = backends.iter().flat_map(ScriptedBackend::arrived).collect();
+    let arrived: Vec<Arrival> = backends
+        .iter()
+        .flat_map(ScriptedBackend::recorded_arrivals)
+        .collect();
     let asked: Vec<Instant> = asked.iter().filter_map(|one| one.at).collect();
     let worst = worst_window(shape.repeat_bound(), &arrived, &asked);
-    if worst.is_over() {
+    if worst.exceeds_bound() {
         return Err(format!("too many repeats in a window: {worst:?}"));
     }
     Ok(())
--- a/crates/coursestand-daemon/tests/soak/rate_limit.rs
+++ b/crates/coursestand-daemon/tests/soak/rate_limit.rs
@@ -7,7 +7,7 @@
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 
 /// How it answers properly.
-pub const NAMES: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 1\r\n");
+pub const NAMES: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 1\r\n");
 /// Holds whatever happens.
 const BOUND: RateBound = RateBound {
     per_second: 1.0,
@@ -25,7 +25,10 @@
 /// The same script for a back end that names its limit: each whole answer of its own does.
 pub fn naming(script: Vec<Behaviour>) -> Vec<Behaviour> {
     let naming = script.into_iter().map(|behaviour| match behaviour {
-        Behaviour::Answer(_) | Behaviour::Slow(_) | Behaviour::Double | Behaviour::Early => NAMES,
+        Behaviour::Answer(_)
+        | Behaviour::Slow(_)
+        | Behaviour::DuplicateAnswer
+        | Behaviour::EarlyAnswer => NAMES,
         other => other,
     });
     naming.collect()
@@ -33,7 +36,10 @@
 
 /// Checks that no window brought the back end more than its limit allows.
 pub fn judge(began: Instant, backend: &ScriptedBackend) -> Result<(), String> {
-    let arrived = backend.arrived().into_iter().map(|arrival| arrival.at);
+    let arrived = backend
+        .recorded_arrivals()
+        .into_iter()
+        .map(|arrival| arrival.at);
     let arrived: Vec<Instant> = arrived.filter(|at| *at >= began + TOLD).collect();
     let over = exceeded(BOUND, &WINDOWS, &arrived);
     if over.is_empty() {
--- a/crates/coursestand-lab/benches/gateway.rs
+++ b/crates/coursestand-lab/benches/gateway.rs
@@ -1,6 +1,6 @@
-//! Costs of the request path, each beside its baseline in the same run:
-//! look-ups beside a bare handler; the gateway beside the back end asked directly
-//! and beside a naive pass-through without steering.
+//! Costs of the request path, each compared with a baseline in the same run: look-ups with a
+//! bare handler, the gateway with direct requests to the back end and with a naive
+//! pass-through proxy without steering.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 
 use coursestand_daemon::Daemon;
 use coursestand_kernel::http::HttpServer;
-use coursestand_lab::address::AddressBook;
-use coursestand_lab::demo::{World, put_first_bundle_in_force, test_operator};
+use coursestand_lab::address::AddressAllocator;
+use coursestand_lab::demo::{Simulation, put_first_bundle_in_force, test_operator};
 use coursestand_lab::deployment::hut;
 use hdrhistogram::Histogram;
 use poem::web::Data;
 use poem::{EndpointExt, Response, Route, get, handler};
 
-const LOOKUP_TIME: Duration = Duration::from_secs(3);
+const LOOKUP_DURATION: Duration = Duration::from_secs(3);
 const LOOKUP_CONNECTIONS: usize = 32;
-const RATE: u64 = 1_000;
-const GATEWAY_TIME: Duration = Duration::from_secs(5);
+const REQUESTS_PER_SECOND: u64 = 1_000;
+const GATEWAY_DURATION: Duration = Duration::from_secs(5);
 const DAEMONS: usize = 3;
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-const GRACE: Duration = Duration::from_millis(100);
+/// Upper bound of the latency histogram in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+const STOP_GRACE: Duration = Duration::from_millis(100);
 
 #[handler]
 fn get_bare() -> Response {
@@ -53,10 +53,10 @@
     backend: String,
 }
 
-/// Requests a second that `url` answers to a fixed number of connections.
+/// Returns the requests per second that `url` answers on a fixed number of connections.
 async fn throughput(url: &str) -> f64 {
     let count = Arc::new(AtomicU64::new(0));
-    let end = Instant::now() + LOOKUP_TIME;
+    let end = Instant::now() + LOOKUP_DURATION;
     let workers = (0..LOOKUP_CONNECTIONS).map(|_| {
         let count = Arc::clone(&count);
         let url = url.to_owned();
@@ -70,7 +70,7 @@
                     .get(&url)
                     .send()
                     .await
-                    .and_then(|a| a.error_for_status());
+                    .and_then(|answer| answer.error_for_status());
                 if let Ok(answer) = answer
                     && answer.bytes().await.is_ok()
                 {
@@ -82,19 +82,20 @@
     for worker in workers.collect::<Vec<_>>() {
         worker.await.expect("the worker ends");
     }
-    count.load(Ordering::Relaxed) as f64 / LOOKUP_TIME.as_secs_f64()
+    count.load(Ordering::Relaxed) as f64 / LOOKUP_DURATION.as_secs_f64()
 }
 
-/// Latencies at a fixed rate, open loop: microseconds.
+/// Measures latencies in microseconds at a fixed rate (open loop). Returns them with the
+/// number of failed requests.
 async fn latencies(url: &str) -> (Histogram<u64>, usize) {
     let client = reqwest::Client::builder()
         .no_proxy()
         .build()
         .unwrap_or_default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
-    for number in 0..RATE * GATEWAY_TIME.as_secs() {
-        let planned = began + Duration::from_micros(number * 1_000_000 / RATE);
+    for number in 0..REQUESTS_PER_SECOND * GATEWAY_DURATION.as_secs() {
+        let planned = started_at + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_SECOND);
         tokio::time::sleep_until(planned.into()).await;
         let client = client.clone();
         let url = url.to_owned();
@@ -107,18 +108,18 @@
                 .send()
                 .await
                 .and_then(|answer| answer.error_for_status());
-            let whole = match answer {
+            let is_complete = match answer {
                 Ok(answer) => answer.bytes().await.is_ok(),
                 Err(_) => false,
             };
-            (planned.elapsed().as_micros() as u64, whole)
+            (planned.elapsed().as_micros() as u64, is_complete)
         }));
     }
-    let mut histogram = Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds");
+    let mut histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
     let mut failed = 0;
     for task in tasks {
-        let (micros, whole) = task.await.expect("the request ends");
-        if whole {
+        let (micros, is_complete) = task.await.expect("the request ends");
+        if is_complete {
             histogram.saturating_record(micros);
         } else {
             failed += 1;
@@ -133,7 +134,7 @@
 }
 
 async fn run() {
-    let mut addresses = AddressBook::take().expect("an address");
+    let mut addresses = AddressAllocator::reserve().expect("an address");
     let mut deployment = hut(&mut addresses);
     deployment.daemons = DAEMONS;
     deployment.bundle.latency_ms.between_zones = 0.0;
@@ -146,25 +147,30 @@
     }
     let folder = std::env::temp_dir().join(format!("coursestand-bench-{}", std::process::id()));
     let settings = deployment.daemon_settings(&mut addresses, &folder);
-    let world = World::start(deployment).await.expect("the world starts");
+    let simulation = Simulation::start(deployment)
+        .await
+        .expect("the simulation starts");
     let mut daemons = Vec::new();
-    for one in &settings {
-        daemons.push(Daemon::start(one).await.expect("the daemon starts"));
+    for settings in &settings {
+        daemons.push(Daemon::start(settings).await.expect("the daemon starts"));
     }
-    put_first_bundle_in_force(&test_operator(&settings), &world.deployment, DAEMONS)
+    put_first_bundle_in_force(&test_operator(&settings), &simulation.deployment, DAEMONS)
         .await
-        .expect("in force");
+        .expect("the bundle is in force");
     let entry = settings[0].entry_role.as_ref().expect("an entry").listen;
-    measure(&world, entry, &mut addresses).await;
+    measure(&simulation, entry, &mut addresses).await;
     for daemon in &daemons {
         daemon.stop().await;
     }
-    // What is left over is in the folder for temporary files.
+    // A failure is harmless: the folder is in the directory for temporary files.
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-async fn measure(world: &World, entry: SocketAddr, addresses: &mut AddressBook) {
-    let backend = format!("http://{}/work", world.backends[0].description().address);
+async fn measure(simulation: &Simulation, entry: SocketAddr, addresses: &mut AddressAllocator) {
+    let backend = format!(
+        "http://{}/work",
+        simulation.backends[0].description().address
+    );
     let naive = Naive {
         client: reqwest::Client::builder()
             .no_proxy()
@@ -176,14 +182,14 @@
         .at("/bare", get(get_bare))
         .at("/naive", get(get_naive))
         .data(naive);
-    let baseline = HttpServer::start(addresses.next_address(), routes, GRACE)
+    let baseline = HttpServer::start(addresses.next_address(), routes, STOP_GRACE)
         .await
         .expect("the baseline starts");
     let base = baseline.address();
 
     let bare_url = format!("http://{base}/bare");
     let lookup_url = format!("http://{entry}/v1/lookup?service=bunkview&client=10.1.0.9");
-    // Twice in turn; the first round warms up.
+    // Two rounds; the first warms up.
     let mut bare = throughput(&bare_url).await;
     let mut lookup = throughput(&lookup_url).await;
     bare = bare.max(throughput(&bare_url).await);
@@ -193,7 +199,7 @@
         lookup / bare
     );
 
-    // Warm-up: connections, and slots in proportion to the demand.
+    // Warms up connections and adapts the slots to the demand.
     let gateway_url = format!("http://{entry}/v1/services/bunkview/work");
     latencies(&gateway_url).await;
     for (name, url) in [
--- a/crates/coursestand-lab/src/backend.rs
+++ b/crates/coursestand-lab/src/backend.rs
@@ -1,6 +1,6 @@
-//! An emulated back end: a few slots, a limit on connections, cold caches at the
-//! start, and the published protocol for probes, cancellation, deadlines,
-//! shedding and leaving.
+//! An emulated back end: request slots, a connection limit, cold caches after the start,
+//! and the published protocol for probes, cancellation, deadlines, load shedding and
+//! leaving.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,21 +20,21 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
 
-use crate::counted::{ConnectionCount, CountedAcceptor};
-use crate::places::Latencies;
+use crate::counting_acceptor::{ConnectionCount, CountingAcceptor};
+use crate::latencies::Latencies;
 use crate::records::{Ending, Record, Records};
 
-/// The caller's unique text for a request.
+/// Header with the caller's unique token of a request.
 pub const TOKEN: &str = "x-token";
-/// Milliseconds of work that a request asks for, in place of the usual time.
+/// Header with the work time in milliseconds that replaces the back end's default.
 pub const WORK_MS: &str = "x-work-ms";
-/// Bytes of padding that the answer should have.
+/// Header with the length of the padding that the answer should have, in bytes.
 pub const ANSWER_BYTES: &str = "x-answer-bytes";
-/// Requests after a start that meet a cold cache.
+/// Number of requests after a start that find a cold cache.
 const COLD_REQUESTS: u64 = 20;
-/// How much slower a request is that meets a cold cache.
+/// Factor by which a cold cache prolongs a request.
 const COLD_FACTOR: u32 = 4;
-/// Time to open a connection.
+/// Set-up time of a connection.
 const CONNECT_TIME: Duration = Duration::from_millis(1);
 
 /// Answer of an emulated back end.
@@ -44,16 +44,16 @@
     pub token: String,
     /// The back end.
     pub backend: String,
-    /// Bytes of the request's body.
+    /// Length of the request's body in bytes.
     pub received: u64,
-    /// Padding.
+    /// Padding of the requested length.
     pub padding: String,
 }
 
 struct State {
     description: PlatformBackend,
-    work: Duration,
-    probe: Duration,
+    work_time: Duration,
+    probe_time: Duration,
     latencies: Latencies,
     records: Records,
     running: AtomicU32,
@@ -63,13 +63,13 @@
     cancellations: Mutex<HashMap<String, Arc<Notify>>>,
 }
 
-/// How an emulated back end behaves.
+/// Response times of an emulated back end.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Time of a request with a warm cache.
-    pub work: Duration,
+    /// Work time of a request with a warm cache.
+    pub work_time: Duration,
     /// Time to answer a probe.
-    pub probe: Duration,
+    pub probe_time: Duration,
 }
 
 /// A running emulated back end.
@@ -80,7 +80,7 @@
 }
 
 impl EmulatedBackend {
-    /// Starts the back end that `description` tells of.
+    /// Starts the back end that `description` states.
     pub async fn start(
         description: PlatformBackend,
         behaviour: Behaviour,
@@ -90,18 +90,18 @@
         let address: SocketAddr = description.address.parse().map_err(std::io::Error::other)?;
         let listener = TcpListener::bind(address).await?;
         let connections = ConnectionCount::default();
-        let (killed, told) = watch::channel(false);
-        let acceptor = CountedAcceptor::new(
+        let (killed, killed_receiver) = watch::channel(false);
+        let acceptor = CountingAcceptor::new(
             TcpAcceptor::from_tokio(listener)?,
             Arc::clone(&connections),
             description.connections,
             CONNECT_TIME,
-            told,
+            killed_receiver,
         );
         let state = Arc::new(State {
             description,
-            work: behaviour.work,
-            probe: behaviour.probe,
+            work_time: behaviour.work_time,
+            probe_time: behaviour.probe_time,
             latencies,
             records,
             running: AtomicU32::new(0),
@@ -112,7 +112,7 @@
         });
         let routes = routes(Arc::clone(&state));
         let task = tokio::spawn(async move {
-            // Ends with its task.
+            // Runs until the task is aborted.
             let _ = Server::new_with_acceptor(acceptor).run(routes).await;
         });
         Ok(EmulatedBackend {
@@ -122,7 +122,7 @@
         })
     }
 
-    /// From now on the back end says that it is leaving; it still serves.
+    /// Makes the back end report that it is leaving; it continues to serve.
     pub fn leave(&self) {
         let now = self.state.records.now_ms();
         let mut since = self
@@ -133,18 +133,18 @@
         since.get_or_insert(now);
     }
 
-    /// Ends the back end at once, with everything that runs on it.
+    /// Stops the back end at once, aborts its running requests and resets its connections.
     pub fn kill(&self) {
         self.task.abort();
         self.killed.send_replace(true);
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.state.running.load(Ordering::SeqCst)
     }
 
-    /// What the back end is, as it is now.
+    /// Returns the description of the back end with its current state.
     pub fn description(&self) -> PlatformBackend {
         PlatformBackend {
             state: self.state.backend_state(),
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Starts a request if a slot is free; records it either way.
+    /// Records a request and starts it. Returns [`Ending::Shed`] if no slot is free.
     fn begin(self: &Arc<Self>, headers: &HeaderMap) -> Result<Run, Ending> {
         let running = self.running.fetch_add(1, Ordering::SeqCst) + 1;
         let has_slot = running <= self.description.slots;
@@ -213,19 +213,19 @@
     }
 
     fn work_time(&self, headers: &HeaderMap) -> Duration {
-        if let Ok(wanted) = text(headers, WORK_MS).parse() {
-            return Duration::from_millis(wanted);
+        if let Ok(work_ms) = text(headers, WORK_MS).parse() {
+            return Duration::from_millis(work_ms);
         }
         let served = self.served.fetch_add(1, Ordering::Relaxed);
         if served < COLD_REQUESTS {
-            self.work * COLD_FACTOR
+            self.work_time * COLD_FACTOR
         } else {
-            self.work
+            self.work_time
         }
     }
 }
 
-/// A request that runs. Dropped before its end, it was cancelled.
+/// A running request; recorded as cancelled if dropped before [`Run::end`].
 struct Run {
     state: Arc<State>,
     position: usize,
@@ -270,7 +270,7 @@
 
 #[handler]
 async fn probe(state: Data<&Arc<State>>) -> Json<ProbeAnswer> {
-    tokio::time::sleep(state.probe).await;
+    tokio::time::sleep(state.probe_time).await;
     Json(ProbeAnswer {
         epoch: state.description.epoch,
         state: state.backend_state(),
@@ -278,30 +278,32 @@
     })
 }
 
-/// Answers once the request doesn't run any more.
+/// Cancels a request and answers once it has stopped.
 #[handler]
 async fn cancel(state: Data<&Arc<State>>, Path(id): Path<String>) -> StatusCode {
-    const LOOK: Duration = Duration::from_millis(5);
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
     loop {
-        let running = state
+        let cancelled = state
             .cancellations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get(&id)
             .cloned();
-        let Some(running) = running else {
+        let Some(cancelled) = cancelled else {
             return StatusCode::OK;
         };
-        running.notify_one();
-        tokio::time::sleep(LOOK).await;
+        cancelled.notify_one();
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 #[handler]
 async fn work(state: Data<&Arc<State>>, request: &Request, body: Body) -> Response {
     let headers = request.headers();
-    let entry = ZoneId(text(headers, headers::ENTRY_ZONE));
-    let one_way = state.latencies.between(&entry, &state.description.zone);
+    let entry_zone = ZoneId(text(headers, headers::ENTRY_ZONE));
+    let one_way = state
+        .latencies
+        .between(&entry_zone, &state.description.zone);
     tokio::time::sleep(one_way).await;
     let run = match state.begin(headers) {
         Ok(run) => run,
@@ -315,13 +317,13 @@
         .parse()
         .map_or(Duration::from_secs(3600), Duration::from_millis);
     let cancelled = Arc::clone(&run.cancelled);
-    let worked = async {
+    let work = async {
         let received = body.into_bytes().await.map_or(0, |bytes| bytes.len());
         tokio::time::sleep(state.work_time(headers)).await;
         received as u64
     };
     let received = tokio::select! {
-        received = tokio::time::timeout(deadline, worked) => received,
+        received = tokio::time::timeout(deadline, work) => received,
         () = cancelled.notified() => {
             run.end(Ending::Cancelled);
             return answer_head(&state, headers, StatusCode::CONFLICT).finish();
--- a/crates/coursestand-lab/src/callers.rs
+++ b/crates/coursestand-lab/src/callers.rs
@@ -1,5 +1,5 @@
-//! A caller as the published interface wants it: asks any entry daemon which
-//! ones to use, caches the answer for its lifetime, and tries again only what
+//! A caller that follows the published interface: looks up at any entry daemon which
+//! daemons to use, caches the answer for its lifetime, and retries a request only if it
 //! was not run or may run twice.
 
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,73 +11,74 @@
 
 use crate::backend::{ANSWER_BYTES, TOKEN, WORK_MS, WorkAnswer};
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 8;
 
-/// A request to make.
+/// A request to send.
 #[derive(Clone, Debug)]
-pub struct Errand {
+pub struct CallerRequest {
     /// Service.
     pub service: ServiceId,
     /// Address of the client.
     pub client: String,
-    /// Unique text.
+    /// Unique token, which the answer repeats.
     pub token: String,
-    /// Key of a request that must not run more than once.
+    /// Idempotency key of a request that must not run more than once.
     pub key: Option<String>,
-    /// Body bytes.
+    /// Length of the body.
     pub body_bytes: usize,
-    /// Padding that the answer should have.
+    /// Length of the padding that the answer should have.
     pub answer_bytes: usize,
-    /// Milliseconds of work, in place of the usual time.
+    /// Work time in milliseconds that replaces the back end's default.
     pub work_ms: Option<u64>,
-    /// Time for the whole errand with all attempts.
-    pub patience: Duration,
+    /// Time for all attempts together, from the planned start.
+    pub timeout: Duration,
 }
 
-/// How an errand ended.
+/// Outcome of a request after all attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
-    /// The answer was complete and its own.
+pub enum RequestOutcome {
+    /// The answer was complete and belongs to the request.
     Answered,
-    /// The answer was not the one to this request, or not whole.
+    /// The answer belongs to another request, or is incomplete.
     WrongAnswer(String),
-    /// Not run, said so.
+    /// The request was not run, as the answer states.
     NotRun,
-    /// May have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// A finished errand.
+/// A request with its outcome.
 #[derive(Clone, Debug)]
-pub struct Finished {
-    /// The errand.
-    pub errand: Errand,
-    /// How it ended.
-    pub finding: Finding,
-    /// Attempts that ended as not run.
+pub struct FinishedRequest {
+    /// The request.
+    pub request: CallerRequest,
+    /// Its outcome.
+    pub outcome: RequestOutcome,
+    /// Number of attempts that were not run.
     pub not_run_attempts: usize,
-    /// Whether any attempt's outcome was not known.
+    /// Whether the outcome of any attempt was unknown.
     pub any_unknown: bool,
     /// Time from the planned start to the end.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-struct Cached {
+struct CachedLookup {
     answer: LookupAnswer,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Callers of one client zone and service share the cached look-up.
+/// Sends requests to entry daemons; look-ups are cached by service and client address.
 pub struct Caller {
     client: reqwest::Client,
     entry_points: Vec<String>,
     latency: Duration,
-    cache: Mutex<std::collections::HashMap<(ServiceId, String), Arc<Cached>>>,
+    cache: Mutex<std::collections::HashMap<(ServiceId, String), Arc<CachedLookup>>>,
 }
 
 impl Caller {
-    /// A caller that knows some entry daemons; `latency` is one way.
+    /// Returns a caller that looks up at `entry_points`; `latency` is the one-way latency
+    /// between the client and its zone.
     pub fn new(entry_points: Vec<String>, latency: Duration) -> Caller {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Asks which daemons to use, or takes the cached answer.
+    /// Returns the daemons to use, from the cache or by a look-up. Returns `None` if no
+    /// entry point answers.
     pub async fn lookup(&self, service: &ServiceId, client: &str) -> Option<LookupAnswer> {
         let key = (service.clone(), client.to_owned());
         let cached = self
@@ -103,7 +105,7 @@
             .get(&key)
             .cloned();
         if let Some(cached) = cached
-            && Instant::now() < cached.until
+            && Instant::now() < cached.expires_at
         {
             return Some(cached.answer.clone());
         }
@@ -118,10 +120,10 @@
             let Ok(answer) = answer.json::<LookupAnswer>().await else {
                 continue;
             };
-            let until = Instant::now() + Duration::from_millis(answer.lifetime_ms);
-            let cached = Arc::new(Cached {
+            let expires_at = Instant::now() + Duration::from_millis(answer.lifetime_ms);
+            let cached = Arc::new(CachedLookup {
                 answer: answer.clone(),
-                until,
+                expires_at,
             });
             self.cache
                 .lock()
@@ -132,151 +134,165 @@
         None
     }
 
-    /// Runs an errand that was planned to start at `planned`.
-    pub async fn run(&self, errand: Errand, planned: Instant) -> Finished {
-        let give_up = planned + errand.patience;
+    /// Sends a request, with retries, whose planned start is `planned`.
+    pub async fn run(&self, request: CallerRequest, planned: Instant) -> FinishedRequest {
+        let deadline = planned + request.timeout;
         let mut not_run_attempts = 0;
         let mut any_unknown = false;
-        let mut finding = Finding::NotRun;
+        let mut outcome = RequestOutcome::NotRun;
         for attempt in 0..MAX_ATTEMPTS {
-            let attempted = self.attempt(&errand, attempt, give_up).await;
-            finding = attempted.finding;
-            match finding {
-                Finding::NotRun => not_run_attempts += 1,
-                Finding::Unknown => any_unknown = true,
-                Finding::Answered | Finding::WrongAnswer(_) => break,
+            let attempted = self.attempt(&request, attempt, deadline).await;
+            outcome = attempted.outcome;
+            match outcome {
+                RequestOutcome::NotRun => not_run_attempts += 1,
+                RequestOutcome::Unknown => any_unknown = true,
+                RequestOutcome::Answered | RequestOutcome::WrongAnswer(_) => break,
             }
-            // With a key it may be sent again whatever happened; without one the
-            // service allows it to run twice.
-            let next = Instant::now() + attempted.come_back;
-            if next >= give_up {
+            // A retry is safe: a request with a key runs at most once, and one without a
+            // key belongs to a service that allows it to run twice.
+            let next_attempt_at = Instant::now() + attempted.retry_after;
+            if next_attempt_at >= deadline {
                 break;
             }
-            tokio::time::sleep_until(next.into()).await;
+            tokio::time::sleep_until(next_attempt_at.into()).await;
         }
-        if any_unknown && finding == Finding::NotRun {
-            finding = Finding::Unknown;
+        if any_unknown && outcome == RequestOutcome::NotRun {
+            outcome = RequestOutcome::Unknown;
         }
-        Finished {
-            errand,
-            finding,
+        FinishedRequest {
+            request,
+            outcome,
             not_run_attempts,
             any_unknown,
-            took: planned.elapsed(),
+            elapsed: planned.elapsed(),
         }
     }
 
-    async fn attempt(&self, errand: &Errand, attempt: usize, give_up: Instant) -> Attempted {
-        let Some(lookup) = self.lookup(&errand.service, &errand.client).await else {
-            return Attempted::not_run(Duration::from_millis(500));
+    async fn attempt(
+        &self,
+        request: &CallerRequest,
+        attempt: usize,
+        deadline: Instant,
+    ) -> AttemptResult {
+        let Some(lookup) = self.lookup(&request.service, &request.client).await else {
+            return AttemptResult::not_run(Duration::from_millis(500));
         };
         let count = lookup.daemons.len();
         if count == 0 {
-            return Attempted::not_run(Duration::from_millis(500));
+            return AttemptResult::not_run(Duration::from_millis(500));
         }
         let daemon = &lookup.daemons[attempt % count];
         tokio::time::sleep(self.latency).await;
-        let remaining = give_up.saturating_duration_since(Instant::now());
-        let sent = self.request(errand, &daemon.address, remaining).send();
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let sent = self
+            .http_request(request, &daemon.address, remaining)
+            .send();
         let attempted = match tokio::time::timeout(remaining, sent).await {
-            Err(_) => Attempted::unknown(),
-            // Nothing was sent: the next daemon may be tried at once.
-            Ok(Err(error)) if error.is_connect() => Attempted::not_run(Duration::ZERO),
-            Ok(Err(_)) => Attempted::unknown(),
-            Ok(Ok(answer)) => read(errand, answer, remaining).await,
+            Err(_) => AttemptResult::unknown(),
+            // Nothing was sent: the next daemon is tried at once.
+            Ok(Err(error)) if error.is_connect() => AttemptResult::not_run(Duration::ZERO),
+            Ok(Err(_)) => AttemptResult::unknown(),
+            Ok(Ok(answer)) => read(request, answer, remaining).await,
         };
         tokio::time::sleep(self.latency).await;
         attempted
     }
 
-    fn request(
+    fn http_request(
         &self,
-        errand: &Errand,
+        request: &CallerRequest,
         address: &str,
         remaining: Duration,
     ) -> reqwest::RequestBuilder {
-        let url = format!("http://{address}/v1/services/{}/work", errand.service);
-        let mut request = if errand.key.is_some() || errand.body_bytes > 0 {
-            self.client.post(url).body(vec![b'p'; errand.body_bytes])
+        let url = format!("http://{address}/v1/services/{}/work", request.service);
+        let mut builder = if request.key.is_some() || request.body_bytes > 0 {
+            self.client.post(url).body(vec![b'p'; request.body_bytes])
         } else {
             self.client.get(url)
         };
-        if let Some(key) = &errand.key {
-            request = request.header(headers::IDEMPOTENCY_KEY, key);
+        if let Some(key) = &request.key {
+            builder = builder.header(headers::IDEMPOTENCY_KEY, key);
         }
-        if let Some(work_ms) = errand.work_ms {
-            request = request.header(WORK_MS, work_ms.to_string());
+        if let Some(work_ms) = request.work_ms {
+            builder = builder.header(WORK_MS, work_ms.to_string());
         }
-        request
-            .header(TOKEN, &errand.token)
-            .header(headers::CLIENT, &errand.client)
+        builder
+            .header(TOKEN, &request.token)
+            .header(headers::CLIENT, &request.client)
             .header(headers::DEADLINE, remaining.as_millis().to_string())
-            .header(ANSWER_BYTES, errand.answer_bytes.to_string())
+            .header(ANSWER_BYTES, request.answer_bytes.to_string())
     }
 }
 
-struct Attempted {
-    finding: Finding,
-    come_back: Duration,
+struct AttemptResult {
+    outcome: RequestOutcome,
+    retry_after: Duration,
 }
 
-impl Attempted {
-    fn not_run(come_back: Duration) -> Attempted {
-        Attempted {
-            finding: Finding::NotRun,
-            come_back,
+impl AttemptResult {
+    fn not_run(retry_after: Duration) -> AttemptResult {
+        AttemptResult {
+            outcome: RequestOutcome::NotRun,
+            retry_after,
         }
     }
 
-    fn unknown() -> Attempted {
-        Attempted {
-            finding: Finding::Unknown,
-            come_back: Duration::from_millis(200),
+    fn unknown() -> AttemptResult {
+        AttemptResult {
+            outcome: RequestOutcome::Unknown,
+            retry_after: Duration::from_millis(200),
         }
     }
 }
 
-async fn read(errand: &Errand, answer: reqwest::Response, remaining: Duration) -> Attempted {
-    let outcome = answer
+async fn read(
+    request: &CallerRequest,
+    answer: reqwest::Response,
+    remaining: Duration,
+) -> AttemptResult {
+    let reported = answer
         .headers()
         .get(headers::OUTCOME)
         .and_then(|value| value.to_str().ok())
         .and_then(Outcome::parse);
-    let come_back = answer
+    let retry_after = answer
         .headers()
         .get(RETRY_AFTER_MS)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
         .map_or(Duration::from_secs(1), Duration::from_millis);
-    match outcome {
-        Some(Outcome::NotRun) => Attempted::not_run(come_back),
+    match reported {
+        Some(Outcome::NotRun) => AttemptResult::not_run(retry_after),
         Some(Outcome::Completed) => {
             let body = tokio::time::timeout(remaining, answer.bytes()).await;
             let Ok(Ok(body)) = body else {
-                // Broken off, and seen as such.
-                return Attempted::unknown();
+                // The answer was truncated or late, and the caller noticed it.
+                return AttemptResult::unknown();
             };
-            Attempted {
-                finding: verify(errand, &body),
-                come_back,
+            AttemptResult {
+                outcome: verify(request, &body),
+                retry_after,
             }
         }
-        Some(Outcome::Unknown) | None => Attempted::unknown(),
+        Some(Outcome::Unknown) | None => AttemptResult::unknown(),
     }
 }
 
-/// Whether the answer is the one to this errand, and whole.
-fn verify(errand: &Errand, body: &[u8]) -> Finding {
+/// Checks that the answer belongs to this request and is complete.
+fn verify(request: &CallerRequest, body: &[u8]) -> RequestOutcome {
     let Ok(answer) = serde_json::from_slice::<WorkAnswer>(body) else {
-        return Finding::WrongAnswer(format!("{} bytes that are no answer", body.len()));
+        return RequestOutcome::WrongAnswer(format!(
+            "{} bytes that are not a valid answer",
+            body.len()
+        ));
     };
-    let own = answer.token == errand.token;
-    let whole =
-        answer.padding.len() == errand.answer_bytes && answer.received == errand.body_bytes as u64;
-    if own && whole {
-        Finding::Answered
+    let is_token_equal = answer.token == request.token;
+    let is_complete = answer.padding.len() == request.answer_bytes
+        && answer.received == request.body_bytes as u64;
+    if is_token_equal && is_complete {
+        RequestOutcome::Answered
     } else {
-        Finding::WrongAnswer(format!("answer to {} for {}", answer.token, errand.token))
+        RequestOutcome::WrongAnswer(format!("answer to {} for {}", answer.token, request.token))
     }
 }
 
--- a/crates/coursestand-lab/src/counted.rs
+++ b/crates/coursestand-lab/src/counting_acceptor.rs
@@ -1,5 +1,5 @@
-//! Counts the open connections of an emulated back end, refuses those above its
-//! limit, and lets each take its time to open.
+//! Counts the open connections of an emulated back end, closes those above its limit,
+//! and delays the first read of each by an emulated connection set-up time.
 
 use std::io::{ErrorKind, IoSlice, Result};
 use std::pin::Pin;
@@ -16,39 +16,39 @@
 use tokio::sync::watch;
 use tokio::time::Sleep;
 
-/// Open connections.
+/// Number of open connections.
 pub type ConnectionCount = Arc<AtomicU32>;
 
-/// Accepts up to `limit` connections at the same time; closes others at once.
-pub struct CountedAcceptor {
+/// Accepts up to `limit` concurrent connections and closes others at once.
+pub struct CountingAcceptor {
     inner: TcpAcceptor,
     open: ConnectionCount,
     limit: u32,
-    open_time: Duration,
+    setup_time: Duration,
     killed: watch::Receiver<bool>,
 }
 
-impl CountedAcceptor {
-    /// Counts the connections of `inner` in `open`; each can be read from after
-    /// `open_time`.
+impl CountingAcceptor {
+    /// Counts the connections of `inner` in `open`; the first read of each waits for
+    /// `setup_time`.
     pub fn new(
         inner: TcpAcceptor,
         open: ConnectionCount,
         limit: u32,
-        open_time: Duration,
+        setup_time: Duration,
         killed: watch::Receiver<bool>,
-    ) -> CountedAcceptor {
-        CountedAcceptor {
+    ) -> CountingAcceptor {
+        CountingAcceptor {
             inner,
             open,
             limit,
-            open_time,
+            setup_time,
             killed,
         }
     }
 }
 
-impl Acceptor for CountedAcceptor {
+impl Acceptor for CountingAcceptor {
     type Io = CountedStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
@@ -65,27 +65,27 @@
             let open = Arc::clone(&self.open);
             let mut killed = self.killed.clone();
             let killed = Box::pin(async move {
-                // A back end that is gone counts as killed.
+                // A dropped sender counts as killed.
                 let _ = killed.wait_for(|killed| *killed).await;
             });
-            let opening = Some(Box::pin(tokio::time::sleep(self.open_time)));
-            let counted = CountedStream {
+            let setup_timer = Some(Box::pin(tokio::time::sleep(self.setup_time)));
+            let connection = CountedStream {
                 stream,
                 open,
-                opening,
+                setup_timer,
                 killed,
             };
-            return Ok((counted, local, remote, scheme));
+            return Ok((connection, local, remote, scheme));
         }
     }
 }
 
-/// A connection that is counted while it is open.
+/// A connection, counted until it is dropped.
 pub struct CountedStream {
     stream: TcpStream,
     open: ConnectionCount,
-    opening: Option<Pin<Box<Sleep>>>,
-    /// Done once the back end is killed: its connections break with it.
+    setup_timer: Option<Pin<Box<Sleep>>>,
+    /// Completes when the back end is killed, which resets its connections.
     killed: Pin<Box<dyn Future<Output = ()> + Send + Sync>>,
 }
 
@@ -104,9 +104,9 @@
         if self.killed.as_mut().poll(context).is_ready() {
             return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
         }
-        if let Some(opening) = &mut self.opening {
-            ready!(opening.as_mut().poll(context));
-            self.opening = None;
+        if let Some(setup_timer) = &mut self.setup_timer {
+            ready!(setup_timer.as_mut().poll(context));
+            self.setup_timer = None;
         }
         Pin::new(&mut self.stream).poll_read(context, buffer)
     }
--- a/crates/coursestand-lab/src/demo.rs
+++ b/crates/coursestand-lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process, on loopback, for a bounded time.
+//! Runs a whole deployment in one process, on loopback, for a limited time.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,27 +13,27 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use snafu::{ResultExt, Snafu};
 
-use crate::address::{AddressBook, NoAddress};
+use crate::address::{AddressAllocator, NoAddress};
 use crate::backend::EmulatedBackend;
 use crate::callers::Caller;
 use crate::deployment::{CONTROL_REPLICAS, Deployment};
+use crate::latencies::Latencies;
 use crate::load::{LoadPlan, run_load};
 use crate::operator::{Operator, OperatorError};
-use crate::places::Latencies;
 use crate::platform::EmulatedPlatform;
 use crate::records::Records;
 use crate::report::{Figures, figures};
 
-/// Longest wait for a step of the start.
-const START_WITHIN: Duration = Duration::from_secs(20);
-/// Time after the first bundle in which slots are shared out.
-const SETTLE: Duration = Duration::from_millis(1_500);
+/// Timeout of each step of the start.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time that the control group gets to distribute slots after the first bundle.
+const SLOT_DISTRIBUTION_TIME: Duration = Duration::from_millis(1_500);
 
-/// Why a deployment could not run.
+/// Errors that prevent a deployment from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DemoError {
-    /// No address is free.
+    /// No loopback address is free.
     #[snafu(display("{source}"))]
     Address {
         /// Cause.
@@ -61,7 +61,7 @@
         /// Cause.
         source: HttpError,
     },
-    /// The control group did not do what it should.
+    /// A request to the control group failed.
     #[snafu(display("{source}"))]
     Control {
         /// Cause.
@@ -75,11 +75,11 @@
     },
 }
 
-/// The emulated world around the daemons.
-pub struct World {
+/// Emulated environment of the daemons: back ends and platform list.
+pub struct Simulation {
     /// The deployment.
     pub deployment: Deployment,
-    /// What the back ends saw.
+    /// Requests that the back ends recorded.
     pub records: Records,
     /// The back ends.
     pub backends: Vec<EmulatedBackend>,
@@ -87,9 +87,9 @@
     pub platform: EmulatedPlatform,
 }
 
-impl World {
+impl Simulation {
     /// Starts the back ends and the platform list.
-    pub async fn start(deployment: Deployment) -> Result<World, DemoError> {
+    pub async fn start(deployment: Deployment) -> Result<Simulation, DemoError> {
         let records = Records::default();
         let latencies = Latencies::new(deployment.bundle.clone());
         let rows = deployment.platform_backends(1);
@@ -107,7 +107,7 @@
         let platform = EmulatedPlatform::start(deployment.platform, lag, rows, records.clone())
             .await
             .context(StartPlatformSnafu)?;
-        Ok(World {
+        Ok(Simulation {
             deployment,
             records,
             backends,
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Tells the platform list how the back ends are now.
-    pub fn tell_platform(&self) {
+    /// Publishes the current state of the back ends in the platform list.
+    pub fn update_platform_list(&self) {
         let rows = self
             .backends
             .iter()
@@ -125,7 +125,7 @@
         self.platform.update(rows);
     }
 
-    /// A caller that knows all entry daemons of these settings.
+    /// Returns a caller that uses the entry daemons of `settings`.
     pub fn caller(&self, settings: &[DaemonSettings]) -> Caller {
         let entry_points = settings
             .iter()
@@ -137,7 +137,7 @@
     }
 }
 
-/// Operators' addresses of the control replicas.
+/// Returns the addresses of the control replicas' operator interfaces.
 pub fn operator_addresses(settings: &[DaemonSettings]) -> Vec<SocketAddr> {
     settings
         .iter()
@@ -146,51 +146,52 @@
         .collect()
 }
 
-/// An operator with a fixed key, for demos and tests.
+/// Returns an operator with a fixed key, for demos and tests.
 pub fn test_operator(settings: &[DaemonSettings]) -> Operator {
     let key = SigningKey::from_bytes(&[7; 32]);
     Operator::new(operator_addresses(settings), "operator", key)
 }
 
-/// Forms the control group and puts the first bundle in force.
+/// Initializes the control group, submits the first bundle and waits until `daemons`
+/// daemons apply it.
 pub async fn put_first_bundle_in_force(
     operator: &Operator,
     deployment: &Deployment,
     daemons: usize,
 ) -> Result<(), DemoError> {
-    let policy = operator.own_policy();
+    let policy = operator.single_operator_policy();
     operator
-        .form_group(rand::random(), &policy, START_WITHIN)
+        .form_group(rand::random(), &policy, START_TIMEOUT)
         .await
         .context(ControlSnafu)?;
     let bundle = operator
         .sign_bundle(&deployment.bundle)
         .context(ControlSnafu)?;
     let answer = operator
-        .submit_bundle(bundle, 0, "first", START_WITHIN)
+        .submit_bundle(bundle, 0, "first", START_TIMEOUT)
         .await
         .context(ControlSnafu)?;
     if !matches!(answer, SubmitAnswer::Accepted { .. }) {
         return Err(DemoError::NotAccepted { answer });
     }
     operator
-        .until_in_force(daemons, START_WITHIN)
+        .until_in_force(daemons, START_TIMEOUT)
         .await
         .context(ControlSnafu)?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SLOT_DISTRIBUTION_TIME).await;
     Ok(())
 }
 
-/// Runs a deployment under load and returns its figures.
+/// Runs a deployment under load and returns the figures of the run.
 pub async fn run_demo(
-    make: fn(&mut AddressBook) -> Deployment,
+    make: fn(&mut AddressAllocator) -> Deployment,
     folder: &Path,
     plan: &LoadPlan,
 ) -> Result<Figures, DemoError> {
-    let mut addresses = AddressBook::take().context(AddressSnafu)?;
+    let mut addresses = AddressAllocator::reserve().context(AddressSnafu)?;
     let deployment = make(&mut addresses);
     let settings = deployment.daemon_settings(&mut addresses, folder);
-    let world = World::start(deployment).await?;
+    let simulation = Simulation::start(deployment).await?;
     let mut daemons = Vec::new();
     for settings in &settings {
         let name = settings.name.clone();
@@ -202,13 +203,13 @@
     println!(
         "{} entry daemons ({CONTROL_REPLICAS} of them control replicas), {} back ends",
         daemons.len(),
-        world.backends.len()
+        simulation.backends.len()
     );
     let operator = test_operator(&settings);
-    put_first_bundle_in_force(&operator, &world.deployment, daemons.len()).await?;
-    let caller = Arc::new(world.caller(&settings));
+    put_first_bundle_in_force(&operator, &simulation.deployment, daemons.len()).await?;
+    let caller = Arc::new(simulation.caller(&settings));
     let bar = progress_bar(plan);
-    let finished = run_load(&world.deployment, caller, plan, |done| {
+    let finished = run_load(&simulation.deployment, caller, plan, |done| {
         bar.set_position(done as u64);
     })
     .await;
@@ -217,9 +218,9 @@
         daemon.stop().await;
     }
     Ok(figures(
-        &world.deployment.bundle,
+        &simulation.deployment.bundle,
         &finished,
-        &world.records.all(),
+        &simulation.records.all(),
     ))
 }
 
--- a/crates/coursestand-lab/src/deployment.rs
+++ b/crates/coursestand-lab/src/deployment.rs
@@ -1,5 +1,5 @@
-//! Deployments: the places, services and back ends of the two users, at the
-//! sizes of today, and settings of the daemons that serve them.
+//! Deployments to emulate: zones, services and back ends of two example organizations,
+//! and the settings of their daemons.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,10 +14,10 @@
 use coursestand_model::{BackendId, ServiceId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::address::AddressBook;
+use crate::address::AddressAllocator;
 use crate::backend::Behaviour;
 
-/// Replicas of the control group.
+/// Number of replicas of the control group.
 pub const CONTROL_REPLICAS: usize = 3;
 
 /// Back ends of one service.
@@ -26,13 +26,13 @@
 pub struct BackendGroup {
     /// The service.
     pub service: ServiceId,
-    /// How many back ends it has.
+    /// Number of its back ends.
     pub count: usize,
-    /// Requests that each runs at the same time.
+    /// Concurrent requests of each back end.
     pub slots: u32,
-    /// Connections that each accepts.
+    /// Maximum number of connections of each back end.
     pub connections: u32,
-    /// Time of a request in milliseconds.
+    /// Work time of a request in milliseconds.
     pub work_ms: u64,
 }
 
@@ -46,15 +46,15 @@
     pub bundle: Bundle,
     /// Back ends by service.
     pub backends: Vec<BackendGroup>,
-    /// Entry daemons; the first ones are also control replicas.
+    /// Number of entry daemons; the first [`CONTROL_REPLICAS`] are also control replicas.
     pub daemons: usize,
     /// Time to answer a probe in milliseconds.
     pub probe_ms: u64,
-    /// How far the platform list lags, in milliseconds.
+    /// Delay of the platform list in milliseconds.
     pub platform_lag_ms: u64,
     /// Address of the platform list.
     pub platform: SocketAddr,
-    /// Address of the first back end; the others follow by port.
+    /// Address of the first back end; the others use the following ports.
     pub first_backend: SocketAddr,
 }
 
@@ -71,8 +71,8 @@
     }
 }
 
-/// What a service needs beside its name.
-struct ServiceSketch {
+/// Parameters of a service and its back ends.
+struct ServiceTemplate {
     name: &'static str,
     repeatable: bool,
     count: usize,
@@ -80,7 +80,7 @@
     max_body_bytes: u64,
 }
 
-impl ServiceSketch {
+impl ServiceTemplate {
     fn service(&self) -> Service {
         Service {
             id: self.name.into(),
@@ -107,19 +107,21 @@
     }
 }
 
-struct Sketch {
+/// Parameters of a deployment.
+struct DeploymentTemplate {
     name: &'static str,
     regions: [(&'static str, [&'static str; 2]); 3],
     latency_ms: Latency,
-    services: [ServiceSketch; 3],
+    services: [ServiceTemplate; 3],
     connections: u32,
     daemons: usize,
     probe_ms: u64,
 }
 
-/// The hut firm.
-pub fn hut(addresses: &mut AddressBook) -> Deployment {
-    let sketch = Sketch {
+/// Returns the deployment `hut`: a firm that rents out huts, with 10 daemons and 45 back
+/// ends.
+pub fn hut(addresses: &mut AddressAllocator) -> Deployment {
+    let template = DeploymentTemplate {
         name: "hut",
         regions: [
             ("inland", ["in-kempton", "in-sandton"]),
@@ -140,12 +142,13 @@
         daemons: 10,
         probe_ms: 2,
     };
-    sketch.deployment(addresses)
+    template.deployment(addresses)
 }
 
-/// The testing co-operative.
-pub fn coop(addresses: &mut AddressBook) -> Deployment {
-    let sketch = Sketch {
+/// Returns the deployment `coop`: a testing co-operative with 12 daemons and 40 back
+/// ends.
+pub fn coop(addresses: &mut AddressAllocator) -> Deployment {
+    let template = DeploymentTemplate {
         name: "coop",
         regions: [
             ("sask", ["regina-hall", "stoon-hall"]),
@@ -166,7 +169,7 @@
         daemons: 12,
         probe_ms: 6,
     };
-    sketch.deployment(addresses)
+    template.deployment(addresses)
 }
 
 fn service(
@@ -175,8 +178,8 @@
     count: usize,
     work_ms: u64,
     max_body_bytes: u64,
-) -> ServiceSketch {
-    ServiceSketch {
+) -> ServiceTemplate {
+    ServiceTemplate {
         name,
         repeatable,
         count,
@@ -185,8 +188,8 @@
     }
 }
 
-impl Sketch {
-    fn deployment(self, addresses: &mut AddressBook) -> Deployment {
+impl DeploymentTemplate {
+    fn deployment(self, addresses: &mut AddressAllocator) -> Deployment {
         let backends: Vec<BackendGroup> = self
             .services
             .iter()
@@ -219,7 +222,7 @@
             regions,
             links: Vec::new(),
             latency_ms: self.latency_ms,
-            services: self.services.iter().map(ServiceSketch::service).collect(),
+            services: self.services.iter().map(ServiceTemplate::service).collect(),
             clients,
             lookup: Lookup {
                 lifetime_ms: 2_000,
@@ -249,25 +252,25 @@
     }
 }
 
-/// Addresses of the clients of one zone: `10.<index + 1>.0.0/16`.
+/// Returns the client addresses of a zone: `10.<index + 1>.0.0/16`.
 fn client_block(index: usize) -> ipnet::IpNet {
     let address = std::net::Ipv4Addr::new(10, index as u8 + 1, 0, 0);
     ipnet::IpNet::V4(ipnet::Ipv4Net::new_assert(address, 16))
 }
 
 impl Deployment {
-    /// All zones.
+    /// Returns all zones.
     pub fn zones(&self) -> Vec<ZoneId> {
         self.bundle.zones().cloned().collect()
     }
 
-    /// An address of a client of a zone.
+    /// Returns the address of client number `host` in a zone.
     pub fn client_address(zone_index: usize, host: u16) -> String {
         let [high, low] = host.to_be_bytes();
         format!("10.{}.{high}.{low}", zone_index + 1)
     }
 
-    /// The back ends, spread over the zones in turn.
+    /// Returns the back ends, distributed round-robin over the zones.
     pub fn platform_backends(&self, epoch: u64) -> Vec<PlatformBackend> {
         let zones = self.zones();
         let mut rows = Vec::new();
@@ -290,7 +293,7 @@
         rows
     }
 
-    /// How the back ends of a service behave.
+    /// Returns the response times of the back ends of a service.
     pub fn behaviour(&self, service: &ServiceId) -> Behaviour {
         let work_ms = self
             .backends
@@ -298,15 +301,15 @@
             .find(|group| group.service == *service)
             .map_or(0, |group| group.work_ms);
         Behaviour {
-            work: Duration::from_millis(work_ms),
-            probe: Duration::from_millis(self.probe_ms),
+            work_time: Duration::from_millis(work_ms),
+            probe_time: Duration::from_millis(self.probe_ms),
         }
     }
 
-    /// Settings of all daemons; data folders are made under `folder`.
+    /// Returns the settings of all daemons, with data folders under `folder`.
     pub fn daemon_settings(
         &self,
-        addresses: &mut AddressBook,
+        addresses: &mut AddressAllocator,
         folder: &Path,
     ) -> Vec<DaemonSettings> {
         let zones = self.zones();
@@ -342,10 +345,10 @@
     }
 }
 
-/// The first daemons stand in different regions, so that the control group
-/// survives a region.
+/// Returns the index of the zone of a daemon. The first daemons are in different regions,
+/// so that the control group survives the loss of a region.
 fn zone_index(number: usize, zones: usize) -> usize {
-    let every_second = number * 2;
-    let round = every_second / zones;
-    (every_second + round % 2) % zones
+    let stride_position = number * 2;
+    let round = stride_position / zones;
+    (stride_position + round % 2) % zones
 }
--- a/crates/coursestand-lab/src/items.rs
+++ b/crates/coursestand-lab/src/items.rs
@@ -1,4 +1,4 @@
-//! Items of a catalog for tests and experiments.
+//! Catalog items for tests and experiments.
 
 use coursestand_catalog::item::ItemVersion;
 use coursestand_catalog::patch::Upsert;
@@ -7,12 +7,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Host of all routes that this module makes.
+/// Host of all routes of this module.
 pub const HOST: &str = "h.example";
-/// Longest body that the limits of this module allow.
+/// Maximum length of a body under [`limits`], in bytes.
 pub const MAX_BODY_BYTES: u64 = 4_000_000;
 
-/// A service at version 1.
+/// Returns a service at version 1.
 pub fn service(name: &str) -> Upsert {
     Upsert {
         key: ItemKey::Service(ServiceId::from(name)),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Limits of callers at version 1.
+/// Returns caller limits at version 1.
 pub fn limits() -> Upsert {
     Upsert {
         key: ItemKey::Limits,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A route `/NAME/` to `service` with affinity.
+/// Returns a route with prefix `/NAME/` to `service`, with key affinity.
 pub fn route(name: &str, service: &str, kind: RouteKind, timeout_ms: Millis) -> Route {
     Route {
         host: HOST.to_owned(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// A route as an item of a patch.
+/// Returns the upsert of a route.
 pub fn route_item(name: &str, version: u64, route: Route) -> Upsert {
     Upsert {
         key: ItemKey::Route(name.to_owned()),
@@ -68,24 +68,29 @@
     }
 }
 
-/// Routes to `service` from number `first` on as operators write them: names and
-/// prefixes that have little in common, and the text of each item.
-pub fn written_routes(
+/// Returns `count` routes to `service`, seeded by their numbers from `first` on, that
+/// compress as poorly as those of operators: names and prefixes have little in common, and
+/// each item carries its JSON text.
+pub fn realistic_routes(
     service: &str,
     first: usize,
     count: usize,
     version: ItemVersion,
 ) -> Vec<Upsert> {
     (first..first + count)
-        .map(|number| written_route(service, number, version))
+        .map(|number| realistic_route(service, number, version))
         .collect()
 }
 
-fn written_route(service: &str, number: usize, version: ItemVersion) -> Upsert {
+fn realistic_route(service: &str, number: usize, version: ItemVersion) -> Upsert {
     let mut random = StdRng::seed_from_u64(number as u64);
-    let name = format!("r-{}", word(&mut random, 7));
+    let name = format!("r-{}", random_text(&mut random, 7));
     let mut route = route(&name, service, RouteKind::Repeatable, 2_000);
-    route.path_prefix = format!("/{}/{}/", word(&mut random, 7), word(&mut random, 4));
+    route.path_prefix = format!(
+        "/{}/{}/",
+        random_text(&mut random, 7),
+        random_text(&mut random, 4)
+    );
     route.notation = format!(
         r#"{{"name":"{name}","host":"{HOST}","path_prefix":"{}","kind":"safe","timeout":"2000ms","max_attempts":2,"key_affinity":true,"service":"{service}"}}"#,
         route.path_prefix
@@ -93,9 +98,9 @@
     route_item(&name, version, route)
 }
 
-fn word(random: &mut StdRng, length: usize) -> String {
-    const SIGNS: &[u8; 36] = b"abcdefghijklmnopqrstuvwxyz0123456789";
+fn random_text(random: &mut StdRng, length: usize) -> String {
+    const CHARACTERS: &[u8; 36] = b"abcdefghijklmnopqrstuvwxyz0123456789";
     (0..length)
-        .map(|_| char::from(SIGNS[random.random_range(0..SIGNS.len())]))
+        .map(|_| char::from(CHARACTERS[random.random_range(0..CHARACTERS.len())]))
         .collect()
 }
--- a/crates/coursestand-lab/src/places.rs
+++ b/crates/coursestand-lab/src/latencies.rs
@@ -1,4 +1,4 @@
-//! One-way latencies between the places of a bundle, for the emulation.
+//! One-way network latencies of an emulated deployment.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 }
 
 impl Latencies {
-    /// The latencies that `bundle` states.
+    /// Returns the latencies that `bundle` states.
     pub fn new(bundle: Bundle) -> Latencies {
         Latencies { bundle }
     }
 
-    /// Between two zones.
+    /// Returns the latency between two zones.
     pub fn between(&self, from: &ZoneId, to: &ZoneId) -> Duration {
         milliseconds(self.bundle.latency_between(from, to))
     }
 
-    /// Between a client and its zone.
+    /// Returns the latency between a client and its zone.
     pub fn to_client(&self) -> Duration {
         milliseconds(self.bundle.latency_ms.to_clients)
     }
--- a/crates/coursestand-lab/src/lib.rs
+++ b/crates/coursestand-lab/src/lib.rs
@@ -1,16 +1,16 @@
-//! The testbed: emulated back ends, links and platform list, callers that make
-//! load, deployments to run, and the checks of what the back ends recorded.
+//! Testbed: emulated back ends, links and platform list, load generation, example
+//! deployments, and checks against what the back ends recorded.
 
 pub mod address;
 pub mod backend;
 pub mod callers;
-pub mod counted;
+pub mod counting_acceptor;
 pub mod demo;
 pub mod deployment;
 pub mod items;
+pub mod latencies;
 pub mod load;
 pub mod operator;
-pub mod places;
 pub mod platform;
 pub mod process;
 pub mod rate_limits;
--- a/crates/coursestand-lab/src/load.rs
+++ b/crates/coursestand-lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Open-loop load: requests start at their planned times, whatever became of the
-//! ones before, so a slow answer can't hide the requests that it delayed.
+//! Open-loop load: requests start at their planned times independently of earlier ones, so
+//! that the latency figures include the delay that slow answers cause (no coordinated
+//! omission).
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,36 +11,38 @@
 use rand::{RngExt, SeedableRng};
 use tokio::sync::mpsc;
 
-use crate::callers::{Caller, Errand, Finished};
+use crate::callers::{Caller, CallerRequest, FinishedRequest};
 use crate::deployment::Deployment;
 
-/// A load to make.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// Requests a second.
     pub rate: f64,
-    /// How long requests start.
+    /// Period in which requests are started.
     pub duration: Duration,
-    /// Time for each request with all attempts.
-    pub patience: Duration,
-    /// Seed of the choices.
+    /// Time for all attempts of a request together.
+    pub timeout: Duration,
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Names the run; part of every token.
+    /// Name of the run; prefix of every token.
     pub run: String,
 }
 
-/// Requests of each service that carry a large body or ask for a large answer.
+/// Share of requests with a large body or a large answer, among the services that allow
+/// them.
 const LARGE_SHARE: f64 = 0.02;
 const LARGE_BYTES: usize = 300 * 1024;
 const SMALL_BYTES: usize = 200;
 
-/// Makes the load and returns every finished errand. `progress` is told of each.
+/// Runs the load and returns all finished requests. Calls `progress` with the number of
+/// requests finished so far.
 pub async fn run_load(
     deployment: &Deployment,
     caller: Arc<Caller>,
     plan: &LoadPlan,
     mut progress: impl FnMut(usize),
-) -> Vec<Finished> {
+) -> Vec<FinishedRequest> {
     let mut random = StdRng::seed_from_u64(plan.seed);
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let began = Instant::now();
@@ -48,42 +51,42 @@
     for number in 0..total {
         let planned = began + Duration::from_secs_f64(number as f64 / plan.rate);
         tokio::time::sleep_until(planned.into()).await;
-        let errand = next_errand(deployment, plan, number, &mut random);
+        let request = next_request(deployment, plan, number, &mut random);
         let caller = Arc::clone(&caller);
         let sender = sender.clone();
         tokio::spawn(async move {
-            // The receiver lives until the last sender is gone.
-            let _ = sender.send(caller.run(errand, planned).await);
+            // The receiver outlives all senders.
+            let _ = sender.send(caller.run(request, planned).await);
         });
-        while let Ok(one) = receiver.try_recv() {
-            finished.push(one);
+        while let Ok(request) = receiver.try_recv() {
+            finished.push(request);
         }
         progress(finished.len());
     }
     drop(sender);
-    while let Some(one) = receiver.recv().await {
-        finished.push(one);
+    while let Some(request) = receiver.recv().await {
+        finished.push(request);
         progress(finished.len());
     }
     finished
 }
 
-fn next_errand(
+fn next_request(
     deployment: &Deployment,
     plan: &LoadPlan,
     number: usize,
     random: &mut StdRng,
-) -> Errand {
+) -> CallerRequest {
     let services = &deployment.bundle.services;
     let service = &services[weighted_service(services.len(), random)];
     let zones = deployment.zones().len();
     let zone = random.random_range(0..zones);
     let host = random.random_range(1..200);
-    let large = service.max_body_bytes > LARGE_BYTES as u64 || service.repeatable;
-    let is_large = large && random.random_bool(LARGE_SHARE);
+    let allows_large = service.max_body_bytes > LARGE_BYTES as u64 || service.repeatable;
+    let is_large = allows_large && random.random_bool(LARGE_SHARE);
     let accepts_large = service.max_body_bytes > LARGE_BYTES as u64;
     let key = (!service.repeatable).then(|| format!("{}-{}-{number}", wall_ms(), plan.run));
-    Errand {
+    CallerRequest {
         service: service.id.clone(),
         client: Deployment::client_address(zone, host),
         token: format!("{}-{number}", plan.run),
@@ -95,11 +98,11 @@
         answer_bytes: if is_large { LARGE_BYTES } else { SMALL_BYTES },
         key,
         work_ms: None,
-        patience: plan.patience,
+        timeout: plan.timeout,
     }
 }
 
-/// The first service gets half of the requests, the others share the rest.
+/// Picks a service: the first gets half of the requests, the others share the rest.
 fn weighted_service(count: usize, random: &mut StdRng) -> usize {
     if count == 1 || random.random_bool(0.5) {
         0
@@ -108,9 +111,14 @@
     }
 }
 
-/// One errand for a test, with everything else as usual.
-pub fn errand(service: &str, client: String, token: &str, patience: Duration) -> Errand {
-    Errand {
+/// Returns a small request without key, body or work time, for tests.
+pub fn default_request(
+    service: &str,
+    client: String,
+    token: &str,
+    timeout: Duration,
+) -> CallerRequest {
+    CallerRequest {
         service: ServiceId::from(service),
         client,
         token: token.to_owned(),
@@ -118,6 +126,6 @@
         body_bytes: 0,
         answer_bytes: SMALL_BYTES,
         work_ms: None,
-        patience,
+        timeout,
     }
 }
--- a/crates/coursestand-lab/src/operator.rs
+++ b/crates/coursestand-lab/src/operator.rs
@@ -1,5 +1,5 @@
-//! What operators do, over the operators' interface: form the control group,
-//! submit bundles and orders, replace a replica.
+//! Client of the control group's operator interface: forms the group, submits bundles and
+//! orders, replaces a replica.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,33 +16,33 @@
 use serde_json::Value;
 use snafu::{ResultExt, Snafu};
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for one replica to tell its status: a frozen one takes connections and
-/// never answers.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a status request to one replica: a frozen one accepts connections and never
+/// answers.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest search for the leader.
-const LEADER_WITHIN: Duration = Duration::from_secs(20);
-const PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of the search for the leader.
+const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why the control group did not do what the operator asked for.
+/// Errors of requests to the control group.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// No replica that leads answered in time.
+    /// No leader answered in time.
     #[snafu(display("no leader of the control group answered in time (last answer: {last})"))]
     NoLeader {
-        /// What the last replica said.
+        /// Last answer of a replica, or the condition that was not met.
         last: String,
     },
-    /// The answer is not what was expected.
+    /// The control group answered with an unexpected text.
     #[snafu(display("the control group answered: {answer}"))]
     Answer {
         /// The answer.
         answer: String,
     },
-    /// A replica does not answer.
+    /// A replica did not answer.
     #[snafu(display("{address}: {source}"))]
     NoAnswer {
-        /// Address of the operators' interface.
+        /// Address of the operator interface.
         address: SocketAddr,
         /// Cause.
         source: reqwest::Error,
@@ -55,12 +55,12 @@
     },
 }
 
-/// Status of a control replica, as far as operators' tools need it.
+/// Status of a control replica: the fields that operators' tools need.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct StatusAnswer {
     /// Control address of the replica.
     pub listen: SocketAddr,
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub leads: bool,
     /// Current revision.
     pub revision: u64,
@@ -70,11 +70,11 @@
     pub initialized: bool,
     /// Daemons with a lease.
     pub daemons: Vec<DaemonStatus>,
-    /// The replica.
+    /// State of the consensus replica.
     pub replica: Value,
 }
 
-/// Talks to the operators' interfaces of a control group.
+/// Client of the operator interfaces of a control group.
 #[derive(Clone)]
 pub struct Operator {
     client: reqwest::Client,
@@ -84,10 +84,10 @@
 }
 
 impl Operator {
-    /// An operator of the control group at these operators' addresses.
+    /// Returns an operator of the control group whose operator interfaces are at `addresses`.
     pub fn new(addresses: Vec<SocketAddr>, name: &str, key: SigningKey) -> Operator {
         let client = reqwest::Client::builder()
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .unwrap_or_default();
@@ -99,8 +99,8 @@
         }
     }
 
-    /// A sign-off policy that needs only this operator.
-    pub fn own_policy(&self) -> SignoffPolicy {
+    /// Returns a sign-off policy that requires only the signature of this operator.
+    pub fn single_operator_policy(&self) -> SignoffPolicy {
         let key = public_key_text(&self.key);
         SignoffPolicy {
             operators: [(self.name.clone(), key)].into(),
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Forms a control group of all replicas, which must be blank, and sets who
-    /// may sign. Sent again with the same `cluster`, it goes on where it was.
+    /// Forms a control group of all replicas, which must be blank, and sets the sign-off
+    /// policy. A repeated call with the same `cluster` continues an interrupted one.
     pub async fn form_group(
         &self,
         cluster: u64,
         policy: &SignoffPolicy,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
         let mut voters = Vec::new();
         for (number, address) in self.addresses.iter().enumerate() {
@@ -133,21 +133,21 @@
             self.post_to::<_, Value>(*address, "/v1/join", &request)
                 .await?;
         }
-        self.ask_leader::<_, Value>("/v1/initialize", policy, within)
+        self.post_to_leader::<_, Value>("/v1/initialize", policy, timeout)
             .await?;
         Ok(())
     }
 
-    /// Adds a blank replica in place of a lost one; see the operators' pages.
+    /// Replaces a lost replica by a blank one; see the operators' pages.
     pub async fn replace(
         &self,
         cluster: u64,
         lost: u64,
         replacement: ReplicaAddress,
         operator_address: SocketAddr,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
-        // The learner has to know where to answer before it has the log.
+        // The learner needs the addresses of the voters before it has the log.
         let join = JoinRequest {
             cluster,
             replica: replacement.replica,
@@ -164,30 +164,30 @@
             MemberChange::Remove { replica: lost },
         ];
         for change in changes {
-            self.until_accepted(&change, within).await?;
+            self.repeat_until_done(&change, timeout).await?;
         }
         Ok(())
     }
 
-    /// Sends a change until it is done: a learner needs time to catch up.
-    async fn until_accepted(
+    /// Repeats a membership change until it is done: a learner needs time to catch up.
+    async fn repeat_until_done(
         &self,
         change: &MemberChange,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
-        let give_up = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
             let answer = self
-                .ask_leader::<_, Value>("/v1/members", change, within)
+                .post_to_leader::<_, Value>("/v1/members", change, timeout)
                 .await?;
             if answer["answer"] == "done" {
                 return Ok(());
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 let answer = answer.to_string();
                 return Err(OperatorError::Answer { answer });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -207,14 +207,14 @@
         bundle: SignedBundle,
         expected_revision: u64,
         submission: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<SubmitAnswer, OperatorError> {
         let request = SubmitBundle {
             bundle,
             expected_revision,
             submission: submission.to_owned(),
         };
-        self.ask_leader("/v1/bundles", &request, within).await
+        self.post_to_leader("/v1/bundles", &request, timeout).await
     }
 
     /// Signs and submits an order made against `expected_revision`.
@@ -223,7 +223,7 @@
         action: OrderAction,
         expected_revision: u64,
         submission: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<SubmitAnswer, OperatorError> {
         let order = Order {
             expected_revision,
@@ -238,67 +238,67 @@
             },
             submission: submission.to_owned(),
         };
-        self.ask_leader("/v1/orders", &request, within).await
+        self.post_to_leader("/v1/orders", &request, timeout).await
     }
 
-    /// Accepted changes, oldest first.
+    /// Returns the accepted changes, oldest first.
     pub async fn history(&self) -> Result<Vec<Revision>, OperatorError> {
-        let leader = self.leader(LEADER_WITHIN).await?;
+        let leader = self.leader(LEADER_SEARCH_TIMEOUT).await?;
         self.get(leader, "/v1/history").await
     }
 
-    /// Status of one replica.
+    /// Returns the status of one replica.
     pub async fn status_of(&self, address: SocketAddr) -> Result<StatusAnswer, OperatorError> {
         self.get(address, "/v1/status").await
     }
 
-    /// Status of the leader.
+    /// Returns the status of the leader.
     pub async fn status(&self) -> Result<StatusAnswer, OperatorError> {
-        let leader = self.leader(LEADER_WITHIN).await?;
+        let leader = self.leader(LEADER_SEARCH_TIMEOUT).await?;
         self.status_of(leader).await
     }
 
-    /// Operators' address of the replica that leads.
-    pub async fn leader(&self, within: Duration) -> Result<SocketAddr, OperatorError> {
-        let give_up = Instant::now() + within;
+    /// Returns the operator address of the leader.
+    pub async fn leader(&self, timeout: Duration) -> Result<SocketAddr, OperatorError> {
+        let deadline = Instant::now() + timeout;
         loop {
             for address in &self.addresses {
-                let asked = tokio::time::timeout(STATUS_TIMEOUT, self.status_of(*address));
-                if let Ok(Ok(status)) = asked.await
+                let answer = tokio::time::timeout(STATUS_TIMEOUT, self.status_of(*address));
+                if let Ok(Ok(status)) = answer.await
                     && status.leads
                 {
                     return Ok(*address);
                 }
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 let last = "no replica leads".to_owned();
                 return Err(OperatorError::NoLeader { last });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Waits until every daemon with a lease decides on at least `revision`, and
-    /// there are `daemons` of them.
+    /// Waits until at least `daemons` daemons have a lease and all of them apply the current
+    /// revision. Returns the status of the leader.
     pub async fn until_in_force(
         &self,
         daemons: usize,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<StatusAnswer, OperatorError> {
-        let give_up = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
             if let Ok(status) = self.status().await {
-                let all = status.daemons.len() >= daemons
+                let is_in_force = status.daemons.len() >= daemons
                     && status.daemons.iter().all(|daemon| !daemon.behind);
-                if all {
+                if is_in_force {
                     return Ok(status);
                 }
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 let last = "some daemon is behind".to_owned();
                 return Err(OperatorError::NoLeader { last });
             }
-            tokio::time::sleep(PAUSE / 4).await;
+            tokio::time::sleep(RETRY_INTERVAL / 4).await;
         }
     }
 
@@ -329,14 +329,14 @@
         answer.json().await.context(NoAnswerSnafu { address })
     }
 
-    /// Sends to one replica after the other until one that leads answers.
-    async fn ask_leader<B: Serialize, T: DeserializeOwned>(
+    /// Sends a request to one replica after the other until the leader answers.
+    async fn post_to_leader<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
         body: &B,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<T, OperatorError> {
-        let give_up = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let mut last = "none".to_owned();
         loop {
             for address in &self.addresses {
@@ -354,15 +354,15 @@
                     Err(error) => last = error.to_string(),
                 }
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 return Err(OperatorError::NoLeader { last });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
 
-/// Members of the group as the status of its leader tells them.
+/// Returns the members of the group from its leader's status.
 fn members_of(status: &StatusAnswer) -> Vec<ReplicaAddress> {
     let members = status.replica["members"].as_array();
     members
--- a/crates/coursestand-lab/src/platform.rs
+++ b/crates/coursestand-lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform list: tells of machines, and lags.
+//! An emulated platform list, which shows changes with a delay.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 
 use crate::records::{Record, Records};
 
-const GRACE: Duration = Duration::from_millis(200);
+const STOP_GRACE: Duration = Duration::from_millis(200);
 
-struct Lagging {
+struct DelayedLists {
     lag: Duration,
-    /// Lists and when each became true, oldest first.
+    /// Lists and the time at which each was set, oldest first.
     lists: Mutex<VecDeque<(Instant, PlatformList)>>,
 }
 
-/// Serves the platform list as it was some time ago.
+/// Serves the platform list with a fixed delay.
 pub struct EmulatedPlatform {
-    state: Arc<Lagging>,
+    state: Arc<DelayedLists>,
     server: HttpServer,
 }
 
 impl EmulatedPlatform {
-    /// Serves on `address`, `lag` behind.
+    /// Starts to serve on `address`, with the delay `lag`.
     pub async fn start(
         address: SocketAddr,
         lag: Duration,
@@ -35,7 +35,7 @@
         records: Records,
     ) -> Result<EmulatedPlatform, HttpError> {
         let list = PlatformList { backends: first };
-        let state = Arc::new(Lagging {
+        let state = Arc::new(DelayedLists {
             lag,
             lists: Mutex::new(VecDeque::from([(Instant::now() - lag, list)])),
         });
@@ -44,11 +44,11 @@
             .at("/lab/records", get(get_records))
             .data(Arc::clone(&state))
             .data(records);
-        let server = HttpServer::start(address, routes, GRACE).await?;
+        let server = HttpServer::start(address, routes, STOP_GRACE).await?;
         Ok(EmulatedPlatform { state, server })
     }
 
-    /// The list as it is from now on.
+    /// Sets the list, which is served once the delay has passed.
     pub fn update(&self, backends: Vec<PlatformBackend>) {
         let list = PlatformList { backends };
         self.state
@@ -58,25 +58,25 @@
             .push_back((Instant::now(), list));
     }
 
-    /// URL of the list.
+    /// Returns the URL of the list.
     pub fn url(&self) -> String {
         format!("http://{}/v1/backends", self.server.address())
     }
 }
 
-/// For the testbed only: what the back ends saw.
+/// Returns the records of the back ends; for the testbed only.
 #[handler]
 fn get_records(records: Data<&Records>) -> Json<Vec<Record>> {
     Json(records.all())
 }
 
 #[handler]
-fn get_backends(state: Data<&Arc<Lagging>>) -> Json<PlatformList> {
+fn get_backends(state: Data<&Arc<DelayedLists>>) -> Json<PlatformList> {
     let mut lists = state.lists.lock().unwrap_or_else(PoisonError::into_inner);
     let visible = |at: Instant| at.elapsed() >= state.lag;
     while lists.len() > 1 && lists.get(1).is_some_and(|(at, _)| visible(*at)) {
         lists.pop_front();
     }
-    let newest = lists.front().map(|(_, list)| list.clone());
-    Json(newest.unwrap_or_default())
+    let current = lists.front().map(|(_, list)| list.clone());
+    Json(current.unwrap_or_default())
 }
--- a/crates/coursestand-lab/src/process.rs
+++ b/crates/coursestand-lab/src/process.rs
@@ -1,13 +1,13 @@
-//! What this process costs, as the operating system counts it.
+//! Processor time and memory of this process, from `/proc`.
 
-/// Clock ticks a second in `/proc`.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_BYTES: u64 = 4096;
-/// Fields of `/proc/self/stat` after the name of the program.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Indexes of fields of `/proc/self/stat`, counted after the program name.
+const USER_TIME_INDEX: usize = 11;
+const SYSTEM_TIME_INDEX: usize = 12;
 
-/// Processor time that the process has used, in seconds.
+/// Returns the processor time of the process in seconds, user and system.
 pub fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let Some((_, fields)) = text.rsplit_once(") ") else {
@@ -20,10 +20,10 @@
             .and_then(|field| field.parse().ok())
             .unwrap_or(0.0)
     };
-    (ticks(USER_TIME) + ticks(SYSTEM_TIME)) / TICKS_PER_SECOND
+    (ticks(USER_TIME_INDEX) + ticks(SYSTEM_TIME_INDEX)) / TICKS_PER_SECOND
 }
 
-/// Memory of the process that is resident, in bytes.
+/// Returns the resident memory of the process in bytes.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text
--- a/crates/coursestand-lab/src/rate_limits.rs
+++ b/crates/coursestand-lab/src/rate_limits.rs
@@ -1,44 +1,44 @@
-//! Judges the rate limit of one back end by when requests reached it.
+//! Checks the rate limit of a back end against the arrival times of its requests.
 
 use std::time::{Duration, Instant};
 
-/// What a back end may get in any window of some length.
+/// Bound on the requests that arrive at a back end in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateBound {
-    /// Requests a second that it named.
+    /// Rate limit that the back end reported, in requests per second.
     pub per_second: f64,
-    /// Factor on what that allows.
+    /// Factor on the requests that the limit allows in a window.
     pub factor: f64,
-    /// Requests besides.
+    /// Requests that are allowed in addition.
     pub slack: f64,
 }
 
 impl RateBound {
-    /// Requests that are allowed in a window of this length.
+    /// Returns the number of requests that are allowed in a window of this length.
     pub fn allowed(&self, window: Duration) -> f64 {
         self.per_second * self.factor * window.as_secs_f64() + self.slack
     }
 }
 
-/// The window of some length in which most requests arrived.
+/// The window of a given length with the most arrivals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FullestWindow {
     /// Its length.
     pub length: Duration,
-    /// Requests that arrived in it.
+    /// Number of requests that arrived in it.
     pub arrivals: usize,
-    /// Requests that the bound allows.
+    /// Number of requests that the bound allows.
     pub allowed: f64,
 }
 
 impl FullestWindow {
-    /// Whether more arrived than is allowed.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether more requests arrived than the bound allows.
+    pub fn exceeds_bound(&self) -> bool {
         self.arrivals as f64 > self.allowed
     }
 }
 
-/// The fullest of all windows of this length, wherever they begin.
+/// Returns the fullest of all windows of this length, whatever their start.
 pub fn fullest_window(bound: RateBound, length: Duration, arrivals: &[Instant]) -> FullestWindow {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort();
@@ -53,7 +53,7 @@
     }
 }
 
-/// Those of `windows` that are over the bound.
+/// Returns the fullest window of each length in `windows` if it exceeds the bound.
 pub fn exceeded(
     bound: RateBound,
     windows: &[Duration],
@@ -62,5 +62,5 @@
     let fullest = windows
         .iter()
         .map(|length| fullest_window(bound, *length, arrivals));
-    fullest.filter(FullestWindow::is_over).collect()
+    fullest.filter(FullestWindow::exceeds_bound).collect()
 }
--- a/crates/coursestand-lab/src/records.rs
+++ b/crates/coursestand-lab/src/records.rs
@@ -1,5 +1,5 @@
-//! What the back ends saw: the ground truth for every check. Never taken from
-//! counters of the system under test.
+//! Requests that the back ends recorded: the ground truth of all checks, independent of
+//! the counters of the system under test.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -7,28 +7,28 @@
 use coursestand_model::{BackendId, ServiceId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// How a request ended at a back end.
+/// State in which a request ended at a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// Still runs.
+    /// It is still running.
     Running,
-    /// Ran to its end.
+    /// It completed.
     Completed,
-    /// Was cancelled, or its connection was closed.
+    /// It was cancelled, or its connection was closed.
     Cancelled,
-    /// Passed its deadline.
+    /// It exceeded its deadline.
     Expired,
-    /// Was shed and did not start: more came than there are slots.
+    /// It was shed without being started, because all slots were in use.
     Shed,
 }
 
 /// One request at one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The caller's unique text for the request; the same when sent again.
+    /// The caller's unique token of the request; retries have the same.
     pub token: String,
-    /// Identifies the dispatch and the daemon that made it.
+    /// Identifies the dispatch and the daemon that dispatched it.
     pub request_id: String,
     /// Service.
     pub service: ServiceId,
@@ -36,52 +36,52 @@
     pub backend: BackendId,
     /// Zone of the back end.
     pub zone: ZoneId,
-    /// Zone of the client, as the gateway told it.
+    /// Zone of the client, as reported by the gateway.
     pub origin: ZoneId,
-    /// Milliseconds since the records began.
+    /// Start, in milliseconds since the records were created.
     pub started_ms: u64,
-    /// Milliseconds since the records began, once it ended.
+    /// End, in milliseconds since the records were created; `None` while it runs.
     pub ended_ms: Option<u64>,
-    /// How it ended.
+    /// State in which it ended.
     pub ending: Ending,
-    /// Requests that ran on the back end, with this one.
+    /// Number of requests running on the back end at the start, including this one.
     pub running: u32,
-    /// Connections that the back end had.
+    /// Number of connections of the back end at the start.
     pub connections: u32,
-    /// Whether the back end had said that it is leaving, and how long ago.
+    /// Time since the back end reported that it is leaving, if it did, in milliseconds.
     pub leaving_for_ms: Option<u64>,
 }
 
 /// Records of all back ends of a deployment.
 #[derive(Clone, Debug)]
 pub struct Records {
-    began: Instant,
+    created_at: Instant,
     rows: Arc<Mutex<Vec<Record>>>,
 }
 
 impl Default for Records {
     fn default() -> Self {
         Records {
-            began: Instant::now(),
+            created_at: Instant::now(),
             rows: Arc::default(),
         }
     }
 }
 
 impl Records {
-    /// Milliseconds since the records began.
+    /// Returns the milliseconds since the records were created.
     pub fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.created_at.elapsed().as_millis() as u64
     }
 
-    /// Adds a record; returns its position.
+    /// Adds a record and returns its position.
     pub fn add(&self, record: Record) -> usize {
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
         rows.push(record);
         rows.len() - 1
     }
 
-    /// Notes how a request ended.
+    /// Records the end of a request.
     pub fn end(&self, position: usize, ending: Ending) {
         let now = self.now_ms();
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A copy of all records.
+    /// Returns a copy of all records.
     pub fn all(&self) -> Vec<Record> {
         self.rows
             .lock()
--- a/crates/coursestand-lab/src/repeats.rs
+++ b/crates/coursestand-lab/src/repeats.rs
@@ -1,47 +1,48 @@
-//! Judges the bound on repeats by what callers and back ends recorded.
+//! Checks the bound on repeats against the records of callers and back ends.
 //!
-//! A repeat is an arrival of a request at any back end beyond its first. In every window,
-//! wherever it begins, a service may get at most `ratio` repeats for each of its requests
-//! and `extra` besides. Requests count by when their callers sent them, in the window, the
-//! one before it or the one that begins half a window earlier, whichever holds most.
+//! A repeat is an arrival of a request at any back end after its first arrival. In every
+//! window, whatever its start, a service may receive at most `ratio` repeats per request
+//! plus `extra`. Requests count by the time at which their callers sent them. The requests
+//! of a window are the maximum over the window itself, the previous window and the window
+//! that begins half a window earlier.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// The bound on repeats to one service.
+/// Bound on the repeats to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatBound {
-    /// Repeats for each request.
+    /// Repeats that are allowed per request.
     pub ratio: f64,
-    /// Repeats besides.
+    /// Repeats that are allowed in addition.
     pub extra: f64,
     /// Length of a window.
     pub window: Duration,
 }
 
-/// One request that reached a back end.
+/// Arrival of a request at a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// Identity of the request.
     pub id: String,
-    /// When its head was read.
+    /// Time at which its head was read.
     pub at: Instant,
 }
 
-/// The window that exceeds the bound most, or comes nearest to it.
+/// The window that exceeds the bound by the most, or comes closest to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorstWindow {
-    /// Repeats that arrived in it.
+    /// Number of repeats that arrived in it.
     pub repeats: usize,
-    /// Requests that count for it.
+    /// Number of requests that count for it.
     pub requests: usize,
-    /// Repeats that the bound allows.
+    /// Number of repeats that the bound allows.
     pub allowed: f64,
 }
 
 impl WorstWindow {
-    /// Whether more arrived than is allowed.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether more repeats arrived than the bound allows.
+    pub fn exceeds_bound(&self) -> bool {
         self.excess() > 0.0
     }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// When each repeat arrived, earliest first.
+/// Returns the arrival time of each repeat, earliest first.
 pub fn repeats(arrivals: &[Arrival]) -> Vec<Instant> {
     let mut arrivals: Vec<&Arrival> = arrivals.iter().collect();
     arrivals.sort_by_key(|arrival| arrival.at);
@@ -62,15 +63,16 @@
         .collect()
 }
 
-/// The worst of all windows. `asked` is when callers sent the requests to the service.
-pub fn worst_window(bound: RepeatBound, arrivals: &[Arrival], asked: &[Instant]) -> WorstWindow {
+/// Returns the worst of all windows. `sent_at` holds the times at which callers sent the
+/// requests to the service.
+pub fn worst_window(bound: RepeatBound, arrivals: &[Arrival], sent_at: &[Instant]) -> WorstWindow {
     let repeats = repeats(arrivals);
-    let mut asked = asked.to_vec();
-    asked.sort();
-    let starts = window_starts(bound.window, &repeats, &asked);
+    let mut sent_at = sent_at.to_vec();
+    sent_at.sort();
+    let starts = window_starts(bound.window, &repeats, &sent_at);
     let windows = starts
         .into_iter()
-        .map(|start| judge_window(bound, start, &repeats, &asked));
+        .map(|start| check_window(bound, start, &repeats, &sent_at));
     windows
         .max_by(|left, right| left.excess().total_cmp(&right.excess()))
         .unwrap_or(WorstWindow {
@@ -80,10 +82,10 @@
         })
 }
 
-/// Starts at which any of the counts changes, so that every window has the counts of one
-/// of these or of the moment just after it.
-fn window_starts(window: Duration, repeats: &[Instant], asked: &[Instant]) -> Vec<Instant> {
-    let events = repeats.iter().chain(asked);
+/// Returns the window starts to check. The counts change only at these starts or 1 ns after
+/// them, so they cover the counts of every possible window.
+fn window_starts(window: Duration, repeats: &[Instant], sent_at: &[Instant]) -> Vec<Instant> {
+    let events = repeats.iter().chain(sent_at);
     let just_after = Duration::from_nanos(1);
     let mut starts: Vec<Instant> = events
         .flat_map(|event| {
@@ -103,18 +105,18 @@
     starts
 }
 
-fn judge_window(
+fn check_window(
     bound: RepeatBound,
     start: Instant,
     repeats: &[Instant],
-    asked: &[Instant],
+    sent_at: &[Instant],
 ) -> WorstWindow {
     let window = bound.window;
-    let counted = [Duration::ZERO, window / 2, window]
+    let counts = [Duration::ZERO, window / 2, window]
         .into_iter()
         .filter_map(|earlier| start.checked_sub(earlier))
-        .map(|start| count_from(asked, start, window));
-    let requests = counted.max().unwrap_or(0);
+        .map(|start| count_from(sent_at, start, window));
+    let requests = counts.max().unwrap_or(0);
     WorstWindow {
         repeats: count_from(repeats, start, window),
         requests,
@@ -122,7 +124,7 @@
     }
 }
 
-/// How many of the sorted moments lie in a window, both ends included.
+/// Returns the number of the sorted times within a window, both ends included.
 fn count_from(sorted: &[Instant], start: Instant, window: Duration) -> usize {
     let end = start + window;
     let first = sorted.partition_point(|at| *at < start);
--- a/crates/coursestand-lab/src/report.rs
+++ b/crates/coursestand-lab/src/report.rs
@@ -7,12 +7,12 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::callers::{Finding, Finished};
+use crate::callers::{FinishedRequest, RequestOutcome};
 use crate::records::{Ending, Record};
 use crate::verdict::{Verdict, check};
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 300_000_000;
+/// Upper bound of the latency histogram in microseconds.
+const MAX_LATENCY_US: u64 = 300_000_000;
 
 /// Latencies of answered requests, in milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -25,64 +25,64 @@
     pub p999: f64,
 }
 
-/// What a region did.
+/// Figures of a region.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RegionFigures {
-    /// Part of all requests that ran here.
+    /// Share of all requests that ran in the region.
     pub share: f64,
-    /// Most requests at the same time.
+    /// Maximum number of concurrent requests.
     pub peak: u32,
-    /// Part of the capacity that was free at the peak.
+    /// Share of the capacity that was free at the peak.
     pub headroom: f64,
 }
 
 /// Figures of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Answered.
+    /// Requests that were answered.
     pub answered: usize,
-    /// Told as not run, after all attempts.
+    /// Requests that were not run, after all attempts.
     pub not_run: usize,
-    /// May have run.
+    /// Requests that may have run.
     pub unknown: usize,
     /// Latencies of answered requests.
     pub latency_ms: Latency,
-    /// By region.
+    /// Figures by region.
     pub regions: BTreeMap<String, RegionFigures>,
-    /// Broken promises.
+    /// Violations of guarantees.
     pub verdict: Verdict,
 }
 
-/// Works the figures of a run out.
-pub fn figures(bundle: &Bundle, finished: &[Finished], records: &[Record]) -> Figures {
-    let count = |finding: &Finding| {
+/// Computes the figures of a run.
+pub fn figures(bundle: &Bundle, finished: &[FinishedRequest], records: &[Record]) -> Figures {
+    let count = |outcome: &RequestOutcome| {
         finished
             .iter()
-            .filter(|one| one.finding == *finding)
+            .filter(|request| request.outcome == *outcome)
             .count()
     };
     Figures {
         requests: finished.len(),
-        answered: count(&Finding::Answered),
-        not_run: count(&Finding::NotRun),
-        unknown: count(&Finding::Unknown),
+        answered: count(&RequestOutcome::Answered),
+        not_run: count(&RequestOutcome::NotRun),
+        unknown: count(&RequestOutcome::Unknown),
         latency_ms: latency(finished),
         regions: regions(bundle, records),
         verdict: check(finished, records),
     }
 }
 
-fn latency(finished: &[Finished]) -> Latency {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_US, 3) else {
+fn latency(finished: &[FinishedRequest]) -> Latency {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3) else {
         return Latency::default();
     };
-    for one in finished
+    for request in finished
         .iter()
-        .filter(|one| one.finding == Finding::Answered)
+        .filter(|request| request.outcome == RequestOutcome::Answered)
     {
-        histogram.saturating_record(one.took.as_micros() as u64);
+        histogram.saturating_record(request.elapsed.as_micros() as u64);
     }
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
     Latency {
@@ -101,14 +101,14 @@
         .regions
         .iter()
         .map(|region| {
-            let here: Vec<&Record> = started
+            let in_region: Vec<&Record> = started
                 .iter()
                 .copied()
                 .filter(|record| region.zones.contains(&record.zone))
                 .collect();
-            let peak = peak_running(&here);
+            let peak = peak_running(&in_region);
             let figures = RegionFigures {
-                share: here.len() as f64 / started.len().max(1) as f64,
+                share: in_region.len() as f64 / started.len().max(1) as f64,
                 peak,
                 headroom: 1.0 - f64::from(peak) / f64::from(region.capacity.max(1)),
             };
@@ -117,14 +117,14 @@
         .collect()
 }
 
-/// Most requests that ran at the same time.
+/// Returns the maximum number of requests that ran concurrently.
 pub fn peak_running(records: &[&Record]) -> u32 {
     let mut changes: Vec<(u64, i32)> = Vec::with_capacity(records.len() * 2);
     for record in records {
         changes.push((record.started_ms, 1));
         changes.push((record.ended_ms.unwrap_or(u64::MAX), -1));
     }
-    // At the same millisecond ends come first.
+    // Within a millisecond, ends sort before starts.
     changes.sort_unstable();
     let mut running = 0;
     let mut peak = 0;
@@ -165,7 +165,7 @@
         let verdict = &self.verdict;
         writeln!(
             out,
-            "broken promises: wrong answers {}, ran twice {}, false not-run {}, \
+            "violations: wrong answers {}, ran twice {}, false not-run {}, \
              answered unrun {}, over slots {}, to leaving {}",
             verdict.wrong_answers,
             verdict.ran_twice,
--- a/crates/coursestand-lab/src/scale.rs
+++ b/crates/coursestand-lab/src/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run: hollow daemons, which follow the control group and confirm
-//! what it says but serve nobody, beside a real control group.
+//! Scale run: a real control group with hollow daemons, which follow it and acknowledge its
+//! tables but serve no requests.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,47 +20,48 @@
 use snafu::ResultExt;
 use tokio::task::JoinHandle;
 
-use crate::address::AddressBook;
+use crate::address::AddressAllocator;
 use crate::demo::{AddressSnafu, ControlSnafu, DemoError, NotAcceptedSnafu, StartDaemonSnafu};
 use crate::demo::{put_first_bundle_in_force, test_operator};
 use crate::deployment::{CONTROL_REPLICAS, Deployment, hut};
 use crate::operator::Operator;
 use crate::process::{cpu_seconds, resident_bytes};
 
-const WITHIN: Duration = Duration::from_secs(60);
-const ATTEMPT: Duration = Duration::from_millis(3_000);
-const REPORT_EVERY: Duration = Duration::from_millis(1_000);
-/// How long the idle cost is measured in each step.
-const IDLE: Duration = Duration::from_secs(5);
-/// Hollow daemons that share one connection to the control group.
+/// Timeout of each operation of a step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(3_000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Duration of the idle measurement of each step.
+const IDLE_DURATION: Duration = Duration::from_secs(5);
+/// Number of hollow daemons that share one connection to the control group.
 const DAEMONS_PER_CLIENT: usize = 50;
 
-/// A scale run.
+/// Parameters of a scale run.
 #[derive(Clone, Debug)]
 pub struct ScalePlan {
-    /// Hollow daemons in each step.
+    /// Number of hollow daemons of each step.
     pub steps: Vec<usize>,
-    /// Changes in each step.
+    /// Number of timed changes of each step.
     pub changes: u64,
 }
 
 /// Figures of one step.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScalePoint {
-    /// Hollow daemons.
+    /// Number of hollow daemons.
     pub daemons: usize,
-    /// Part of one core that the whole process used while nothing changed:
-    /// control replicas and hollow daemons together.
+    /// Processor use of the whole process while idle, in cores: control replicas and
+    /// hollow daemons together.
     pub idle_cores: f64,
     /// Resident memory of the whole process in bytes.
     pub resident_bytes: u64,
-    /// Messages a second between hollow daemons and the leader while idle.
+    /// Messages per second between hollow daemons and the leader while idle.
     pub messages_per_second: f64,
-    /// Bytes of the encoded messages a second for each daemon while idle.
+    /// Bytes of encoded messages per second and daemon while idle.
     pub bytes_per_second_per_daemon: f64,
-    /// Time from the submit of a change until every daemon had it: median.
+    /// Median time from the submission of a change until every daemon has applied it.
     pub in_force_p50_ms: f64,
-    /// The longest such time.
+    /// Maximum of these times.
     pub in_force_max_ms: f64,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// What all hollow daemons count.
+/// Counters of all hollow daemons.
 #[derive(Default)]
 struct Traffic {
     messages: AtomicU64,
@@ -89,30 +90,30 @@
     stop: AtomicBool,
 }
 
-struct Hollow {
+struct HollowDaemon {
     version: Arc<AtomicU64>,
     tasks: [JoinHandle<()>; 2],
 }
 
-/// Runs all steps against one control group.
+/// Runs all steps against one control group and returns their figures.
 pub async fn run_scale(plan: &ScalePlan) -> Result<Vec<ScalePoint>, DemoError> {
     let folder = std::env::temp_dir().join(format!("coursestand-scale-{}", std::process::id()));
-    let result = run_in(plan, &folder).await;
-    // What is left over is in the folder for temporary files.
+    let result = run_steps(plan, &folder).await;
+    // A failure is harmless: the folder is in the directory for temporary files.
     let _ = std::fs::remove_dir_all(&folder);
     result
 }
 
-async fn run_in(plan: &ScalePlan, folder: &Path) -> Result<Vec<ScalePoint>, DemoError> {
-    let mut addresses = AddressBook::take().context(AddressSnafu)?;
+async fn run_steps(plan: &ScalePlan, folder: &Path) -> Result<Vec<ScalePoint>, DemoError> {
+    let mut addresses = AddressAllocator::reserve().context(AddressSnafu)?;
     let deployment = hut(&mut addresses);
     let mut settings = deployment.daemon_settings(&mut addresses, folder);
     settings.truncate(CONTROL_REPLICAS);
     let mut daemons = Vec::new();
-    for one in &mut settings {
-        one.entry_role = None;
-        let name = one.name.clone();
-        let daemon = Daemon::start(one)
+    for settings in &mut settings {
+        settings.entry_role = None;
+        let name = settings.name.clone();
+        let daemon = Daemon::start(settings)
             .await
             .context(StartDaemonSnafu { name })?;
         daemons.push(daemon);
@@ -140,26 +141,26 @@
     changes: u64,
 ) -> Result<ScalePoint, DemoError> {
     let traffic = Arc::new(Traffic::default());
-    let hollows = start_hollows(deployment, control, count, &traffic);
+    let hollow_daemons = start_hollow_daemons(deployment, control, count, &traffic);
     operator
-        .until_in_force(count, WITHIN)
+        .until_in_force(count, STEP_TIMEOUT)
         .await
         .context(ControlSnafu)?;
-    let (messages, bytes) = counted(&traffic);
+    let (messages, bytes) = traffic_totals(&traffic);
     let cpu = cpu_seconds();
-    let began = Instant::now();
-    tokio::time::sleep(IDLE).await;
-    let elapsed = began.elapsed().as_secs_f64();
-    let (messages_after, bytes_after) = counted(&traffic);
+    let started_at = Instant::now();
+    tokio::time::sleep(IDLE_DURATION).await;
+    let elapsed = started_at.elapsed().as_secs_f64();
+    let (messages_after, bytes_after) = traffic_totals(&traffic);
     let idle_cores = (cpu_seconds() - cpu) / elapsed;
     let mut times = Vec::new();
     for change in 0..changes {
-        times.push(time_change(operator, &hollows, change).await?);
+        times.push(time_change(operator, &hollow_daemons, change).await?);
     }
     times.sort_by(f64::total_cmp);
     traffic.stop.store(true, Ordering::Relaxed);
     let resident = resident_bytes();
-    for hollow in hollows {
+    for hollow in hollow_daemons {
         for task in hollow.tasks {
             task.abort();
         }
@@ -175,20 +176,20 @@
     })
 }
 
-fn counted(traffic: &Traffic) -> (u64, u64) {
+fn traffic_totals(traffic: &Traffic) -> (u64, u64) {
     (
         traffic.messages.load(Ordering::Relaxed),
         traffic.bytes.load(Ordering::Relaxed),
     )
 }
 
-/// Time until a change that every daemon sees is held by every one.
+/// Returns the time in milliseconds until a change has reached every daemon.
 async fn time_change(
     operator: &Operator,
-    hollows: &[Hollow],
+    hollow_daemons: &[HollowDaemon],
     change: u64,
 ) -> Result<f64, DemoError> {
-    const LOOK: Duration = Duration::from_millis(2);
+    const POLL_INTERVAL: Duration = Duration::from_millis(2);
     let current = operator.status().await.context(ControlSnafu)?;
     let target = DrainTarget::Backend("not-there".into());
     let action = if change.is_multiple_of(2) {
@@ -197,33 +198,33 @@
         OrderAction::Restore { target }
     };
     let submission = format!("scale-{}", current.revision);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let answer = operator
-        .submit_order(action, current.revision, &submission, WITHIN)
+        .submit_order(action, current.revision, &submission, STEP_TIMEOUT)
         .await
         .context(ControlSnafu)?;
     if !matches!(answer, SubmitAnswer::Accepted { .. }) {
         return NotAcceptedSnafu { answer }.fail();
     }
     let before = current.version;
-    while hollows
+    while hollow_daemons
         .iter()
         .any(|hollow| hollow.version.load(Ordering::Relaxed) <= before)
-        && began.elapsed() < WITHIN
+        && started_at.elapsed() < STEP_TIMEOUT
     {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Ok(began.elapsed().as_secs_f64() * 1000.0)
+    Ok(started_at.elapsed().as_secs_f64() * 1000.0)
 }
 
-fn start_hollows(
+fn start_hollow_daemons(
     deployment: &Deployment,
     control: &[SocketAddr],
     count: usize,
     traffic: &Arc<Traffic>,
-) -> Vec<Hollow> {
+) -> Vec<HollowDaemon> {
     let zones = deployment.zones();
-    let mut hollows = Vec::new();
+    let mut hollow_daemons = Vec::new();
     let mut client = None;
     for number in 0..count {
         if number % DAEMONS_PER_CLIENT == 0 {
@@ -252,12 +253,12 @@
             Arc::clone(traffic),
         ));
         let report = tokio::spawn(report(Arc::clone(client), daemon, Arc::clone(traffic)));
-        hollows.push(Hollow {
+        hollow_daemons.push(HollowDaemon {
             version,
             tasks: [follow, report],
         });
     }
-    hollows
+    hollow_daemons
 }
 
 async fn follow(
@@ -269,7 +270,7 @@
     let mut tables = Tables::default();
     while !traffic.stop.load(Ordering::Relaxed) {
         let message = ControlRequest::Follow(request.clone());
-        let answer = client.ask(&message, ATTEMPT, ATTEMPT).await;
+        let answer = client.ask(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT).await;
         if let Ok(ControlReply::Follow(delta)) = answer {
             count(&traffic, &message);
             count(&traffic, &delta);
@@ -293,8 +294,12 @@
         leaving: Vec::new(),
     });
     while !traffic.stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(REPORT_EVERY).await;
-        if client.ask(&message, ATTEMPT, ATTEMPT).await.is_ok() {
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        if client
+            .ask(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)
+            .await
+            .is_ok()
+        {
             count(&traffic, &message);
         }
     }
--- a/crates/coursestand-lab/src/scripted.rs
+++ b/crates/coursestand-lab/src/scripted.rs
@@ -1,6 +1,6 @@
-//! A back end that misbehaves on order, on raw sockets: answers that are cut,
-//! foreign, doubled, early or missing, and refusals with and without proof. It
-//! records what it ran.
+//! A scripted back end on raw sockets, which can misbehave: truncated, mismatched,
+//! duplicate, early or missing answers, and refusals with or without the statement that the
+//! request was not run. It records what it ran.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,64 +16,63 @@
 
 use crate::repeats::Arrival;
 
-/// Length of an answer that comes in pieces: more than a daemon holds.
+/// Length of the answer of [`Behaviour::Trickle`]; larger than what a daemon buffers.
 const TRICKLED_BYTES: usize = 4 * 1024 * 1024;
-const TRICKLED_PIECE: [u8; 4096] = [b'x'; 4096];
+const TRICKLE_CHUNK: [u8; 4096] = [b'x'; 4096];
 const TRICKLE_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the back end does with one request.
+/// How the back end handles a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs it and answers properly with this status.
+    /// Runs it and answers with this status.
     Answer(u16),
-    /// Runs it and answers properly with a body of this many bytes.
-    Sized(usize),
-    /// Runs it and answers properly after this time.
+    /// Runs it and answers with a body of this length in bytes.
+    AnswerOfSize(usize),
+    /// Runs it and answers after this time.
     Slow(Duration),
-    /// Refuses it, with the proof that it was not run.
+    /// Refuses it with 503 and the header that states that it was not run.
     Shed,
-    /// Refuses it with the proof that it was not run, and tells this load:
-    /// `running,waiting,slots`.
-    ShedTelling(&'static str),
-    /// Refuses it with the proof that it was not run, and these header lines.
-    ShedWith(&'static str),
-    /// Runs it and answers properly with this status and these header lines.
-    AnswerWith(u16, &'static str),
-    /// Runs it and answers 503 with these header lines, without the proof that it was
-    /// not run.
-    UnprovenRefusalWith(&'static str),
-    /// Is another instance than the one that was meant; does not run it.
+    /// As `Shed`, with a header that reports this load: `running,waiting,slots`.
+    ShedWithLoad(&'static str),
+    /// As `Shed`, with these header lines.
+    ShedWithHeaders(&'static str),
+    /// Runs it and answers with this status and these header lines.
+    AnswerWithHeaders(u16, &'static str),
+    /// Runs it and answers 503 with these header lines, without the header that states that
+    /// it was not run.
+    UnprovenRefusalWithHeaders(&'static str),
+    /// Answers 421 without running it: the request is addressed to another instance.
     Misdirected,
-    /// Runs it and answers 503 without the proof that it was not run.
+    /// Runs it and answers 503 without the header that states that it was not run.
     UnprovenRefusal,
-    /// Runs it and closes without an answer.
-    Lose,
+    /// Runs it and closes the connection without an answer.
+    CloseWithoutAnswer,
     /// Runs it and never answers.
-    Silence,
-    /// Runs it; the answer ends before its length.
-    Cut,
-    /// Runs it; the answer has these header lines and ends before its length.
-    CutWith(&'static str),
+    NeverAnswer,
+    /// Runs it; the answer ends before its content length.
+    TruncatedAnswer,
+    /// Runs it; the answer has these header lines and ends before its content length.
+    TruncatedAnswerWithHeaders(&'static str),
     /// Runs it; a chunked answer ends before its last chunk.
-    CutChunks,
-    /// Runs it; the answer has no length and its connection is reset.
+    TruncatedChunks,
+    /// Runs it; the answer has no content length and its connection is reset.
     UnframedReset,
-    /// Runs it and sends bytes that are no answer.
+    /// Runs it and sends bytes that are not a valid HTTP response.
     Garbage,
     /// Runs it and answers with another request's identity.
     WrongId,
-    /// Runs it and answers a success without signature.
+    /// Runs it and answers 200 without a signature.
     Unsigned,
-    /// Runs it and answers with an encoding nobody asked for.
-    Encoded,
+    /// Runs it and answers with a content encoding that was not requested.
+    UnrequestedEncoding,
     /// Runs it and answers twice.
-    Double,
-    /// Ends with all its connections under a request whose path holds this text; runs and
-    /// answers any other properly.
-    EndUnder(&'static str),
-    /// Answers before the body is in, then reads on.
-    Early,
-    /// Runs it and sends a long answer in pieces with pauses between them.
+    DuplicateAnswer,
+    /// Crashes with all its connections on a request whose path contains this text; runs
+    /// and answers any other.
+    CrashOn(&'static str),
+    /// Answers 400 before the body has arrived, then reads the body.
+    EarlyAnswer,
+    /// Runs it and sends a long answer in chunks with pauses between them.
     Trickle,
 }
 
@@ -84,18 +83,18 @@
     pub id: String,
     /// Method and path.
     pub target: String,
-    /// The instance that it was meant for.
+    /// Instance that it is addressed to.
     pub instance: String,
-    /// Milliseconds that the back end was given.
+    /// Time in milliseconds that the back end had for it.
     pub deadline_ms: Option<u64>,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 #[derive(Default)]
 struct Script {
     next: VecDeque<Behaviour>,
-    otherwise: Option<Behaviour>,
+    fallback: Option<Behaviour>,
     runs: Vec<Run>,
     arrivals: Vec<Arrival>,
 }
@@ -104,9 +103,9 @@
 pub struct ScriptedBackend {
     address: SocketAddr,
     script: Arc<Mutex<Script>>,
-    closed: watch::Receiver<usize>,
-    ended: watch::Receiver<bool>,
-    stands_still: watch::Sender<bool>,
+    abandoned: watch::Receiver<usize>,
+    crashed: watch::Receiver<bool>,
+    suspended: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
@@ -121,164 +120,167 @@
 }
 
 impl ScriptedBackend {
-    /// Does `script` in turn, and `otherwise` from then on.
+    /// Starts a back end that handles its first requests by `script` in turn, and all later
+    /// ones by `fallback`.
     pub async fn start(
         script: Vec<Behaviour>,
-        otherwise: Behaviour,
+        fallback: Behaviour,
     ) -> std::io::Result<ScriptedBackend> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let script = Arc::new(Mutex::new(Script {
             next: script.into(),
-            otherwise: Some(otherwise),
+            fallback: Some(fallback),
             ..Script::default()
         }));
-        let (closing, closed) = watch::channel(0);
-        let (ending, ended) = watch::channel(false);
-        let stands_still = watch::Sender::new(false);
+        let (abandoned_sender, abandoned) = watch::channel(0);
+        let (crash_sender, crashed) = watch::channel(false);
+        let suspended = watch::Sender::new(false);
         let task = tokio::spawn(accept(
             listener,
             Arc::clone(&script),
-            closing,
-            ending,
-            stands_still.subscribe(),
+            abandoned_sender,
+            crash_sender,
+            suspended.subscribe(),
         ));
         Ok(ScriptedBackend {
             address,
             script,
-            closed,
-            ended,
-            stands_still,
+            abandoned,
+            crashed,
+            suspended,
             task,
         })
     }
 
-    /// Where it listens.
+    /// Returns its listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it ran.
+    /// Returns the requests that it ran.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.script).runs.clone()
     }
 
-    /// How many requests reached it, run or not.
-    pub fn arrivals(&self) -> usize {
+    /// Returns the number of requests that reached it, run or not.
+    pub fn arrival_count(&self) -> usize {
         lock(&self.script).arrivals.len()
     }
 
-    /// The requests that reached it, run or not.
-    pub fn arrived(&self) -> Vec<Arrival> {
+    /// Returns the arrivals of the requests that reached it, run or not.
+    pub fn recorded_arrivals(&self) -> Vec<Arrival> {
         lock(&self.script).arrivals.clone()
     }
 
-    /// Reads no further request from now on, as a process that is stopped: the system goes
-    /// on accepting connections and keeps what is written to them. What was read before
-    /// is still answered.
-    pub fn stand_still(&self) {
-        self.stands_still.send_replace(true);
+    /// Stops reading requests, as a suspended process does: the operating system continues
+    /// to accept connections and buffers what is written to them. Requests that were read
+    /// before are still answered.
+    pub fn suspend(&self) {
+        self.suspended.send_replace(true);
     }
 
-    /// Goes on, and finds what came in the meantime.
-    pub fn go_on(&self) {
-        self.stands_still.send_replace(false);
+    /// Resumes reading, beginning with what was buffered.
+    pub fn resume(&self) {
+        self.suspended.send_replace(false);
     }
 
-    /// Whether it has ended under a request.
-    pub fn has_ended(&self) -> bool {
-        *self.ended.borrow()
+    /// Returns whether it has crashed on a request.
+    pub fn has_crashed(&self) -> bool {
+        *self.crashed.borrow()
     }
 
-    /// Returns once so many connections were closed by their callers while a
-    /// request on them had no answer.
-    pub async fn abandoned(&self, count: usize) {
-        let mut closed = self.closed.clone();
+    /// Waits until `count` connections were closed by their callers while a request on them
+    /// was unanswered.
+    pub async fn wait_for_abandoned(&self, count: usize) {
+        let mut abandoned = self.abandoned.clone();
         // The sender lives as long as the back end.
-        let _ = closed.wait_for(|closed| *closed >= count).await;
+        let _ = abandoned.wait_for(|abandoned| *abandoned >= count).await;
     }
 }
 
 async fn accept(
     listener: TcpListener,
     script: Arc<Mutex<Script>>,
-    closing: watch::Sender<usize>,
-    ending: watch::Sender<bool>,
-    stands_still: watch::Receiver<bool>,
+    abandoned_sender: watch::Sender<usize>,
+    crash_sender: watch::Sender<bool>,
+    suspended: watch::Receiver<bool>,
 ) {
-    let closing = Arc::new(closing);
-    let mut ended = ending.subscribe();
-    let ending = Arc::new(ending);
+    let abandoned_sender = Arc::new(abandoned_sender);
+    let mut crashed = crash_sender.subscribe();
+    let crash_sender = Arc::new(crash_sender);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // The listener is dropped: nobody is at the address any more.
-            _ = ended.wait_for(|ended| *ended) => return,
+            // Drops the listener, so that further connections are refused.
+            _ = crashed.wait_for(|crashed| *crashed) => return,
         };
         let Ok((stream, _)) = accepted else {
             return;
         };
-        let going = stands_still.clone();
+        let suspended = suspended.clone();
         let script = Arc::clone(&script);
-        let closing = Arc::clone(&closing);
-        let ending = Arc::clone(&ending);
-        let mut ended = ending.subscribe();
+        let abandoned_sender = Arc::clone(&abandoned_sender);
+        let crash_sender = Arc::clone(&crash_sender);
+        let mut crashed = crash_sender.subscribe();
         tokio::spawn(async move {
             tokio::select! {
-                // A caller that breaks off ends the connection's task.
-                served = serve(stream, &script, &closing, going) => {
-                    if matches!(served, Ok(Served::Ended)) {
-                        ending.send_replace(true);
+                // A connection error ends the connection's task.
+                served = serve(stream, &script, &abandoned_sender, suspended) => {
+                    if matches!(served, Ok(Served::Crashed)) {
+                        crash_sender.send_replace(true);
                     }
                 }
-                _ = ended.wait_for(|ended| *ended) => {}
+                _ = crashed.wait_for(|crashed| *crashed) => {}
             }
         });
     }
 }
 
-/// How the last request of a connection ended.
+/// How serving a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Served {
-    /// The connection goes on, or was closed.
-    Over,
-    /// The back end ended under it.
-    Ended,
+    /// The connection was closed.
+    Closed,
+    /// The back end crashed on a request.
+    Crashed,
 }
 
 struct Head {
     run: Run,
     length: usize,
     is_chunked: bool,
-    rest: Vec<u8>,
+    /// Bytes of the body that were read with the head.
+    body_start: Vec<u8>,
 }
 
-/// Reads the next head; of a back end that stands still, once it goes on.
+/// Reads the next request head; waits while the back end is suspended. Returns `None` if the
+/// caller closes the connection.
 async fn read_head(
     stream: &mut TcpStream,
-    going: &mut watch::Receiver<bool>,
+    suspended: &mut watch::Receiver<bool>,
 ) -> std::io::Result<Option<Head>> {
     let mut bytes = Vec::new();
-    let mut piece = [0; 4096];
+    let mut buffer = [0; 4096];
     loop {
         if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&bytes[..end]).into_owned();
-            return Ok(Some(head_of(&text, bytes[end + 4..].to_vec())));
+            return Ok(Some(parse_head(&text, bytes[end + 4..].to_vec())));
         }
         if bytes.is_empty() {
             stream.readable().await?;
             // The sender lives as long as the back end.
-            let _ = going.wait_for(|stands_still| !stands_still).await;
+            let _ = suspended.wait_for(|suspended| !suspended).await;
         }
-        let count = stream.read(&mut piece).await?;
+        let count = stream.read(&mut buffer).await?;
         if count == 0 {
             return Ok(None);
         }
-        bytes.extend_from_slice(&piece[..count]);
+        bytes.extend_from_slice(&buffer[..count]);
     }
 }
 
-fn head_of(text: &str, rest: Vec<u8>) -> Head {
+fn parse_head(text: &str, body_start: Vec<u8>) -> Head {
     let names = HeaderNames::default();
     let header = |name: &HeaderName| {
         text.lines()
@@ -300,37 +302,37 @@
         },
         length: length.and_then(|text| text.parse().ok()).unwrap_or(0),
         is_chunked,
-        rest,
+        body_start,
     }
 }
 
 async fn read_body(stream: &mut TcpStream, head: &mut Head) -> std::io::Result<()> {
-    let mut body = std::mem::take(&mut head.rest);
-    let mut piece = [0; 4096];
+    let mut body = std::mem::take(&mut head.body_start);
+    let mut buffer = [0; 4096];
     if head.is_chunked {
         while !body.ends_with(b"0\r\n\r\n") {
-            let count = stream.read(&mut piece).await?;
+            let count = stream.read(&mut buffer).await?;
             if count == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
-            body.extend_from_slice(&piece[..count]);
+            body.extend_from_slice(&buffer[..count]);
         }
-        head.run.body = without_chunks(&body);
+        head.run.body = decode_chunks(&body);
         return Ok(());
     }
     while body.len() < head.length {
-        let count = stream.read(&mut piece).await?;
+        let count = stream.read(&mut buffer).await?;
         if count == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
-        body.extend_from_slice(&piece[..count]);
+        body.extend_from_slice(&buffer[..count]);
     }
     head.run.body = body;
     Ok(())
 }
 
-/// The data of a chunked body that has ended.
-fn without_chunks(mut bytes: &[u8]) -> Vec<u8> {
+/// Returns the data of a complete chunked body.
+fn decode_chunks(mut bytes: &[u8]) -> Vec<u8> {
     let mut data = Vec::new();
     while let Some(end) = bytes.windows(2).position(|two| two == b"\r\n") {
         let size = std::str::from_utf8(&bytes[..end]).unwrap_or_default();
@@ -345,7 +347,7 @@
     data
 }
 
-/// A proper answer to the request with identity `id`; its body names it.
+/// Returns a valid answer to the request with identity `id`, which its body contains.
 fn answer(id: &str, status: u16, extra: &str) -> String {
     answer_with(id, status, extra, &format!("body of {id}"))
 }
@@ -363,10 +365,10 @@
 async fn serve(
     mut stream: TcpStream,
     script: &Mutex<Script>,
-    closing: &watch::Sender<usize>,
-    mut going: watch::Receiver<bool>,
+    abandoned_sender: &watch::Sender<usize>,
+    mut suspended: watch::Receiver<bool>,
 ) -> std::io::Result<Served> {
-    while let Some(mut head) = read_head(&mut stream, &mut going).await? {
+    while let Some(mut head) = read_head(&mut stream, &mut suspended).await? {
         let behaviour = {
             let mut script = lock(script);
             script.arrivals.push(Arrival {
@@ -374,90 +376,90 @@
                 at: Instant::now(),
             });
             let next = script.next.pop_front();
-            next.or_else(|| script.otherwise.clone())
-                .unwrap_or(Behaviour::Lose)
+            next.or_else(|| script.fallback.clone())
+                .unwrap_or(Behaviour::CloseWithoutAnswer)
         };
-        if behaviour != Behaviour::Early {
+        if behaviour != Behaviour::EarlyAnswer {
             read_body(&mut stream, &mut head).await?;
         }
-        if let Behaviour::EndUnder(text) = behaviour
+        if let Behaviour::CrashOn(text) = behaviour
             && head.run.target.contains(text)
         {
-            return Ok(Served::Ended);
+            return Ok(Served::Crashed);
         }
         let runs = !matches!(
             behaviour,
             Behaviour::Shed
-                | Behaviour::ShedTelling(_)
-                | Behaviour::ShedWith(_)
+                | Behaviour::ShedWithLoad(_)
+                | Behaviour::ShedWithHeaders(_)
                 | Behaviour::Misdirected
-                | Behaviour::Early
+                | Behaviour::EarlyAnswer
         );
         if runs {
             lock(script).runs.push(head.run.clone());
         }
-        if !act(&mut stream, &mut head, &behaviour, closing).await? {
-            return Ok(Served::Over);
+        if !respond(&mut stream, &mut head, &behaviour, abandoned_sender).await? {
+            return Ok(Served::Closed);
         }
     }
-    Ok(Served::Over)
+    Ok(Served::Closed)
 }
 
-/// Returns whether the connection goes on.
-async fn act(
+/// Responds to a request by `behaviour`. Returns whether the connection stays open.
+async fn respond(
     stream: &mut TcpStream,
     head: &mut Head,
     behaviour: &Behaviour,
-    closing: &watch::Sender<usize>,
+    abandoned_sender: &watch::Sender<usize>,
 ) -> std::io::Result<bool> {
     let names = HeaderNames::default();
     let id = head.run.id.clone();
-    let proof = format!("{}: 1\r\n", names.not_executed);
+    let not_executed = format!("{}: 1\r\n", names.not_executed);
     let text = match behaviour {
         Behaviour::Answer(status) => answer(&id, *status, ""),
-        Behaviour::EndUnder(_) => answer(&id, 200, ""),
-        Behaviour::Sized(bytes) => answer_with(&id, 200, "", &"x".repeat(*bytes)),
+        Behaviour::CrashOn(_) => answer(&id, 200, ""),
+        Behaviour::AnswerOfSize(bytes) => answer_with(&id, 200, "", &"x".repeat(*bytes)),
         Behaviour::Shed => {
-            format!("HTTP/1.1 503 X\r\n{proof}content-length: 0\r\n\r\n")
+            format!("HTTP/1.1 503 X\r\n{not_executed}content-length: 0\r\n\r\n")
         }
-        Behaviour::ShedTelling(load) => {
-            let told = format!("{}: {load}\r\n", names.server_load);
-            format!("HTTP/1.1 503 X\r\n{proof}{told}content-length: 0\r\n\r\n")
+        Behaviour::ShedWithLoad(load) => {
+            let load_line = format!("{}: {load}\r\n", names.server_load);
+            format!("HTTP/1.1 503 X\r\n{not_executed}{load_line}content-length: 0\r\n\r\n")
         }
-        Behaviour::ShedWith(lines) => {
-            format!("HTTP/1.1 503 X\r\n{proof}{lines}content-length: 0\r\n\r\n")
+        Behaviour::ShedWithHeaders(lines) => {
+            format!("HTTP/1.1 503 X\r\n{not_executed}{lines}content-length: 0\r\n\r\n")
         }
-        Behaviour::AnswerWith(status, lines) => answer(&id, *status, lines),
-        Behaviour::UnprovenRefusalWith(lines) => {
+        Behaviour::AnswerWithHeaders(status, lines) => answer(&id, *status, lines),
+        Behaviour::UnprovenRefusalWithHeaders(lines) => {
             format!("HTTP/1.1 503 X\r\n{lines}content-length: 0\r\n\r\n")
         }
         Behaviour::Misdirected => "HTTP/1.1 421 X\r\ncontent-length: 0\r\n\r\n".to_owned(),
         Behaviour::UnprovenRefusal => "HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n".to_owned(),
         Behaviour::Slow(pause) => {
-            if !waits_for(stream, *pause).await {
-                closing.send_modify(|closed| *closed += 1);
+            if !stays_open_for(stream, *pause).await {
+                abandoned_sender.send_modify(|abandoned| *abandoned += 1);
                 return Ok(false);
             }
             answer(&id, 200, "")
         }
-        Behaviour::Silence => {
-            waits_for(stream, Duration::MAX).await;
-            closing.send_modify(|closed| *closed += 1);
+        Behaviour::NeverAnswer => {
+            stays_open_for(stream, Duration::MAX).await;
+            abandoned_sender.send_modify(|abandoned| *abandoned += 1);
             return Ok(false);
         }
-        Behaviour::Lose => return Ok(false),
-        Behaviour::Cut | Behaviour::CutWith(_) => {
+        Behaviour::CloseWithoutAnswer => return Ok(false),
+        Behaviour::TruncatedAnswer | Behaviour::TruncatedAnswerWithHeaders(_) => {
             let lines = match behaviour {
-                Behaviour::CutWith(lines) => *lines,
+                Behaviour::TruncatedAnswerWithHeaders(lines) => *lines,
                 _ => "",
             };
-            let whole = answer(&id, 200, lines);
+            let complete = answer(&id, 200, lines);
             stream
-                .write_all(&whole.as_bytes()[..whole.len() - 3])
+                .write_all(&complete.as_bytes()[..complete.len() - 3])
                 .await?;
             return Ok(false);
         }
-        Behaviour::CutChunks => {
+        Behaviour::TruncatedChunks => {
             let text = format!(
                 "HTTP/1.1 200 X\r\n{}: {id}\r\n{}: s\r\ntransfer-encoding: chunked\r\n\r\n4\r\nbody\r\n",
                 names.request_id, names.signature
@@ -471,7 +473,7 @@
                 names.request_id, names.signature
             );
             stream.write_all(text.as_bytes()).await?;
-            // Long enough for the bytes to arrive before the reset.
+            // Lets the bytes arrive before the reset.
             tokio::time::sleep(Duration::from_millis(50)).await;
             stream.set_zero_linger()?;
             return Ok(false);
@@ -482,15 +484,15 @@
             "HTTP/1.1 200 X\r\n{}: {id}\r\ncontent-length: 4\r\n\r\nbody",
             names.request_id
         ),
-        Behaviour::Encoded => answer(&id, 200, "content-encoding: gzip\r\n"),
-        Behaviour::Double => format!("{}{}", answer(&id, 200, ""), answer(&id, 200, "")),
+        Behaviour::UnrequestedEncoding => answer(&id, 200, "content-encoding: gzip\r\n"),
+        Behaviour::DuplicateAnswer => format!("{}{}", answer(&id, 200, ""), answer(&id, 200, "")),
         Behaviour::Trickle => {
             if trickle(stream, &id).await.is_err() {
-                closing.send_modify(|closed| *closed += 1);
+                abandoned_sender.send_modify(|abandoned| *abandoned += 1);
             }
             return Ok(false);
         }
-        Behaviour::Early => {
+        Behaviour::EarlyAnswer => {
             stream.write_all(answer(&id, 400, "").as_bytes()).await?;
             read_body(stream, head).await?;
             return Ok(true);
@@ -500,7 +502,7 @@
     Ok(true)
 }
 
-/// Sends pieces until the caller closes.
+/// Sends a long answer in chunks. Fails if the caller closes the connection.
 async fn trickle(stream: &mut TcpStream, id: &str) -> std::io::Result<()> {
     let names = HeaderNames::default();
     let head = format!(
@@ -508,16 +510,16 @@
         names.request_id, names.signature
     );
     stream.write_all(head.as_bytes()).await?;
-    for _ in 0..TRICKLED_BYTES / TRICKLED_PIECE.len() {
-        stream.write_all(&TRICKLED_PIECE).await?;
+    for _ in 0..TRICKLED_BYTES / TRICKLE_CHUNK.len() {
+        stream.write_all(&TRICKLE_CHUNK).await?;
         tokio::time::sleep(TRICKLE_PAUSE).await;
     }
     Ok(())
 }
 
-/// Waits this long; false when the caller closes before.
-async fn waits_for(stream: &mut TcpStream, pause: Duration) -> bool {
-    let mut piece = [0; 1];
-    let read = tokio::time::timeout(pause, stream.read(&mut piece)).await;
+/// Waits for `pause`. Returns false if the caller closes the connection before.
+async fn stays_open_for(stream: &mut TcpStream, pause: Duration) -> bool {
+    let mut buffer = [0; 1];
+    let read = tokio::time::timeout(pause, stream.read(&mut buffer)).await;
     read.is_err()
 }
--- a/crates/coursestand-lab/src/silent_relay.rs
+++ b/crates/coursestand-lab/src/silent_relay.rs
@@ -1,5 +1,5 @@
-//! A relay in front of a back end whose open connections can be made to fall silent
-//! for good, without an end or a reset, while new ones work.
+//! A relay in front of a back end that can stop forwarding on its open connections for
+//! good, without closing or resetting them, while new connections work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,30 +10,30 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What an open connection still carries.
+/// Traffic that an open connection still forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carriage {
-    /// Bytes in both directions.
+pub enum Forwarding {
+    /// Both directions.
     Both,
     /// Requests only: they reach the back end, and their answers are lost.
-    Requests,
-    /// Nothing, though the system confirms what was sent, as a proxy does that has
-    /// lost its other side.
-    Nothing,
-    /// No segment arrives, so that nothing is confirmed either, as behind a stateful
-    /// firewall that has forgotten the connection.
-    NoSegment,
+    RequestsOnly,
+    /// Nothing, but the operating system still acknowledges received segments, as at a
+    /// proxy that has lost its upstream connection.
+    Discard,
+    /// Nothing, and received segments are dropped without acknowledgement, as behind a
+    /// stateful firewall that has lost the state of the connection.
+    DropSegments,
 }
 
-const PIECE_BYTES: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 /// Instruction of a classic socket filter that drops the segment: `ret #0`.
 const DROP_SEGMENT: SockFilter = SockFilter::new(0x06, 0, 0, 0);
 
 /// A relay in front of one back end.
 pub struct SilentRelay {
     address: SocketAddr,
-    /// What the connections that are open at a change carry from then on.
-    carriage: Arc<watch::Sender<Carriage>>,
+    /// Forwarding of the connections that are open at a change, from then on.
+    forwarding: Arc<watch::Sender<Forwarding>>,
     accepted: watch::Receiver<usize>,
     task: JoinHandle<()>,
 }
@@ -45,51 +45,51 @@
 }
 
 impl SilentRelay {
-    /// A relay to `backend`.
+    /// Starts a relay to `backend`.
     pub async fn start(backend: SocketAddr) -> std::io::Result<SilentRelay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let carriage = Arc::new(watch::Sender::new(Carriage::Both));
+        let forwarding = Arc::new(watch::Sender::new(Forwarding::Both));
         let (accepting, accepted) = watch::channel(0);
-        let changes = Arc::clone(&carriage);
+        let changes = Arc::clone(&forwarding);
         let task = tokio::spawn(accept(listener, backend, changes, accepting));
         Ok(SilentRelay {
             address,
-            carriage,
+            forwarding,
             accepted,
             task,
         })
     }
 
-    /// Where it listens.
+    /// Returns its listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that were made so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         *self.accepted.borrow()
     }
 
-    /// All connections that are open now carry only this from now on; connections
-    /// made later carry everything.
-    pub fn silence(&self, carriage: Carriage) {
-        self.carriage.send_replace(carriage);
+    /// Restricts the connections that are open at this moment to `forwarding`; later
+    /// connections forward everything.
+    pub fn restrict_open_connections(&self, forwarding: Forwarding) {
+        self.forwarding.send_replace(forwarding);
     }
 }
 
 async fn accept(
     listener: TcpListener,
     backend: SocketAddr,
-    changes: Arc<watch::Sender<Carriage>>,
+    changes: Arc<watch::Sender<Forwarding>>,
     accepting: watch::Sender<usize>,
 ) {
     while let Ok((caller, _)) = listener.accept().await {
-        // A new subscriber sees only later changes.
+        // A new subscriber receives later changes only.
         let changes = changes.subscribe();
         accepting.send_modify(|accepted| *accepted += 1);
         tokio::spawn(async move {
-            // A side that breaks off ends the connection.
+            // An error of either side closes the connection.
             let _ = relay(caller, backend, changes).await;
         });
     }
@@ -98,48 +98,49 @@
 async fn relay(
     mut caller: TcpStream,
     backend: SocketAddr,
-    mut changes: watch::Receiver<Carriage>,
+    mut changes: watch::Receiver<Forwarding>,
 ) -> std::io::Result<()> {
     let mut backend = TcpStream::connect(backend).await?;
-    let mut request = vec![0; PIECE_BYTES];
-    let mut answer = vec![0; PIECE_BYTES];
-    let mut carriage = Carriage::Both;
+    let mut request = vec![0; BUFFER_BYTES];
+    let mut answer = vec![0; BUFFER_BYTES];
+    let mut forwarding = Forwarding::Both;
     loop {
         tokio::select! {
             read = caller.read(&mut request) => {
                 let count = read?;
                 if count == 0 {
-                    return hold(carriage, &caller, &backend).await;
+                    return close_unless_restricted(forwarding, &caller, &backend).await;
                 }
-                if matches!(carriage, Carriage::Both | Carriage::Requests) {
+                if matches!(forwarding, Forwarding::Both | Forwarding::RequestsOnly) {
                     backend.write_all(&request[..count]).await?;
                 }
             }
             read = backend.read(&mut answer) => {
                 let count = read?;
                 if count == 0 {
-                    return hold(carriage, &caller, &backend).await;
+                    return close_unless_restricted(forwarding, &caller, &backend).await;
                 }
-                if carriage == Carriage::Both {
+                if forwarding == Forwarding::Both {
                     caller.write_all(&answer[..count]).await?;
                 }
             }
-            Ok(()) = changes.changed() => carriage = *changes.borrow_and_update(),
+            Ok(()) = changes.changed() => forwarding = *changes.borrow_and_update(),
         }
-        if carriage == Carriage::NoSegment {
+        if forwarding == Forwarding::DropSegments {
             SockRef::from(&caller).attach_filter(&[DROP_SEGMENT])?;
-            return hold(carriage, &caller, &backend).await;
+            return close_unless_restricted(forwarding, &caller, &backend).await;
         }
     }
 }
 
-/// Ends a connection that carries everything; a silent one tells neither side.
-async fn hold(
-    carriage: Carriage,
+/// Returns at once for a connection that forwards everything, which closes it. Keeps a
+/// restricted one open on both sides.
+async fn close_unless_restricted(
+    forwarding: Forwarding,
     _caller: &TcpStream,
     _backend: &TcpStream,
 ) -> std::io::Result<()> {
-    if carriage != Carriage::Both {
+    if forwarding != Forwarding::Both {
         std::future::pending::<()>().await;
     }
     Ok(())
--- a/crates/coursestand-lab/src/verdict.rs
+++ b/crates/coursestand-lab/src/verdict.rs
@@ -1,41 +1,41 @@
-//! Checks what callers were told against what back ends recorded.
+//! Checks the outcomes that callers received against the records of the back ends.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
 
-use crate::callers::{Finding, Finished};
+use crate::callers::{FinishedRequest, RequestOutcome};
 use crate::records::{Ending, Record};
 
-/// New work reaches a back end that is leaving for this long at most.
-pub const LEAVING_WITHIN_MS: u64 = 2_000;
+/// Maximum time in milliseconds for which a leaving back end still receives new requests.
+pub const LEAVING_GRACE_MS: u64 = 2_000;
 
-/// Counts of broken promises; all should be zero.
+/// Number of violations of each guarantee; all should be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Answers that were not the caller's own, or not whole.
+    /// Answers that belong to another request, or are incomplete.
     pub wrong_answers: usize,
-    /// Requests that must not be repeated and ran more than once.
+    /// Requests with an idempotency key that ran more than once.
     pub ran_twice: usize,
-    /// Requests told as not run that ran.
+    /// Requests reported as not run that ran.
     pub false_not_run: usize,
-    /// Requests told as answered that never ran.
+    /// Requests reported as answered that never ran.
     pub answered_unrun: usize,
-    /// Requests that reached a back end whose slots were all in use.
+    /// Requests that arrived at a back end whose slots were all in use.
     pub over_slots: usize,
-    /// Requests that came later to a back end that was leaving.
+    /// Requests that arrived at a leaving back end after [`LEAVING_GRACE_MS`].
     pub to_leaving: usize,
 }
 
 impl Verdict {
-    /// Whether every promise was kept.
-    pub fn is_good(&self) -> bool {
+    /// Returns whether all guarantees were kept.
+    pub fn has_no_violations(&self) -> bool {
         *self == Verdict::default()
     }
 }
 
-/// Checks one run.
-pub fn check(finished: &[Finished], records: &[Record]) -> Verdict {
+/// Counts the violations of one run.
+pub fn check(finished: &[FinishedRequest], records: &[Record]) -> Verdict {
     let mut starts: HashMap<&str, Vec<&Record>> = HashMap::new();
     for record in records
         .iter()
@@ -53,29 +53,30 @@
             .filter(|record| {
                 record
                     .leaving_for_ms
-                    .is_some_and(|ms| ms > LEAVING_WITHIN_MS)
+                    .is_some_and(|ms| ms > LEAVING_GRACE_MS)
             })
             .count(),
         ..Verdict::default()
     };
-    for one in finished {
+    for finished_request in finished {
         let runs = starts
-            .get(one.errand.token.as_str())
+            .get(finished_request.request.token.as_str())
             .map_or(0, |runs| runs.len());
-        match &one.finding {
-            Finding::WrongAnswer(_) => verdict.wrong_answers += 1,
-            Finding::NotRun if runs > 0 => verdict.false_not_run += 1,
-            Finding::Answered if runs == 0 => verdict.answered_unrun += 1,
+        match &finished_request.outcome {
+            RequestOutcome::WrongAnswer(_) => verdict.wrong_answers += 1,
+            RequestOutcome::NotRun if runs > 0 => verdict.false_not_run += 1,
+            RequestOutcome::Answered if runs == 0 => verdict.answered_unrun += 1,
             _ => {}
         }
-        if one.errand.key.is_some() && runs > 1 {
+        if finished_request.request.key.is_some() && runs > 1 {
             verdict.ran_twice += 1;
         }
     }
     verdict
 }
 
-/// Starts by zone and second of the requests of one service and client zone.
+/// Counts the starts of the requests of one service and client zone, by bucket of
+/// `bucket_ms` and zone of the back end.
 pub fn starts_by_zone(
     records: &[Record],
     service: &str,
--- a/crates/coursestand-lab/tests/rate_limits.rs
+++ b/crates/coursestand-lab/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The judge of rate limits must be able to fail, and to pass at the bound.
+//! The rate limit check detects windows that exceed the bound, and passes those at it.
 #![allow(missing_docs)]
 
 use std::time::{Duration, Instant};
@@ -13,43 +13,46 @@
 };
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// So many arrivals at an even pace over `seconds`, from `start` on.
-fn evenly(start: Instant, count: u32, seconds: f64) -> Vec<Instant> {
+/// Returns `count` evenly spaced arrivals over `seconds` from `start` on.
+fn evenly_spaced(start: Instant, count: u32, seconds: f64) -> Vec<Instant> {
     let pause = Duration::from_secs_f64(seconds / f64::from(count));
     (0..count).map(|number| start + pause * number).collect()
 }
 
-/// Guards against a judge that misses a burst which begins anywhere.
+/// Guards against a check that misses a burst because of the time at which it begins.
 #[gtest]
-fn one_request_over_the_bound_is_seen_wherever_the_window_begins() {
+fn one_request_over_the_bound_is_detected_wherever_the_window_begins() {
     let start = Instant::now();
-    let mut arrivals = evenly(start, 20, 20.0);
+    let mut arrivals = evenly_spaced(start, 20, 20.0);
     let burst = start + Duration::from_millis(7_777);
-    arrivals.extend(evenly(burst, 36 - 4, 1.0));
+    arrivals.extend(evenly_spaced(burst, 36 - 4, 1.0));
     let fullest = fullest_window(BOUND, WINDOW, &arrivals);
     expect_that!(fullest.arrivals, eq(36));
     expect_that!(exceeded(BOUND, &[WINDOW], &arrivals).len(), eq(1));
 }
 
-/// Guards against a judge that is stricter than the bound.
+/// Guards against a check that is stricter than the bound.
 #[gtest]
-fn as_many_as_the_bound_allows_are_borne() {
+fn arrivals_up_to_the_bound_pass() {
     let start = Instant::now();
     expect_that!(
-        exceeded(BOUND, &[WINDOW], &evenly(start, 35, 1.0)),
+        exceeded(BOUND, &[WINDOW], &evenly_spaced(start, 35, 1.0)),
         is_empty()
     );
     expect_that!(exceeded(BOUND, &[WINDOW], &[]), is_empty());
 }
 
-/// Guards against a judge that looks at one length only.
+/// Guards against a check that applies one window length only.
 #[gtest]
-fn each_length_of_window_is_judged_by_itself() {
-    let arrivals = evenly(Instant::now(), 15, 0.5);
+fn each_window_length_is_checked_separately() {
+    let arrivals = evenly_spaced(Instant::now(), 15, 0.5);
     let lengths = [Duration::from_secs(1), WINDOW];
-    let over = exceeded(BOUND, &lengths, &arrivals);
+    let exceeded_windows = exceeded(BOUND, &lengths, &arrivals);
     expect_that!(
-        over.iter().map(|one| one.length).collect::<Vec<_>>(),
+        exceeded_windows
+            .iter()
+            .map(|window| window.length)
+            .collect::<Vec<_>>(),
         eq(&vec![lengths[0]])
     );
 }
--- a/crates/coursestand-lab/tests/repeats.rs
+++ b/crates/coursestand-lab/tests/repeats.rs
@@ -1,5 +1,4 @@
-//! The judge of the bound on repeats must be able to fail, whatever moment a window
-//! begins at.
+//! The check of the bound on repeats detects windows that exceed it, whatever their start.
 #![allow(missing_docs)]
 
 use std::time::{Duration, Instant};
@@ -18,7 +17,8 @@
     start + Duration::from_secs_f64(seconds)
 }
 
-/// Arrivals of one request after the other, each `times` over at the moments given.
+/// Returns the arrivals of one request per entry of `moments`, in seconds, each repeated
+/// `times` times.
 fn arrivals(start: Instant, moments: &[f64], times: usize) -> Vec<Arrival> {
     moments
         .iter()
@@ -34,25 +34,25 @@
 }
 
 #[gtest]
-fn more_repeats_than_allowed_are_told_in_a_window_that_begins_anywhere() {
+fn excess_repeats_are_detected_wherever_the_window_begins() {
     let start = Instant::now() + Duration::from_secs(60);
     let moments = [7.1, 9.0, 12.3, 17.0];
-    let asked: Vec<Instant> = moments.iter().map(|moment| at(start, *moment)).collect();
-    let worst = worst_window(BOUND, &arrivals(start, &moments, 2), &asked);
+    let sent_at: Vec<Instant> = moments.iter().map(|moment| at(start, *moment)).collect();
+    let worst = worst_window(BOUND, &arrivals(start, &moments, 2), &sent_at);
     expect_that!(worst.repeats, eq(4));
     expect_that!(worst.requests, eq(4));
-    expect_that!(worst.is_over(), eq(true));
-    let apart = [7.1, 9.0, 12.3, 17.2];
-    let worst = worst_window(BOUND, &arrivals(start, &apart, 2), &asked);
-    expect_that!(worst.is_over(), eq(false));
+    expect_that!(worst.exceeds_bound(), eq(true));
+    let spread_moments = [7.1, 9.0, 12.3, 17.2];
+    let worst = worst_window(BOUND, &arrivals(start, &spread_moments, 2), &sent_at);
+    expect_that!(worst.exceeds_bound(), eq(false));
 }
 
 #[gtest]
-fn a_first_arrival_is_no_repeat_and_requests_earn_repeats() {
+fn first_arrivals_are_not_repeats_and_each_request_raises_the_bound() {
     let start = Instant::now() + Duration::from_secs(60);
     let moments: Vec<f64> = (0..100).map(|number| f64::from(number) / 100.0).collect();
-    let asked: Vec<Instant> = moments.iter().map(|moment| at(start, *moment)).collect();
-    let once = worst_window(BOUND, &arrivals(start, &moments, 1), &asked);
+    let sent_at: Vec<Instant> = moments.iter().map(|moment| at(start, *moment)).collect();
+    let once = worst_window(BOUND, &arrivals(start, &moments, 1), &sent_at);
     expect_that!(once.repeats, eq(0));
     let repeated = |count: usize| {
         let first = arrivals(start, &moments, 1);
@@ -63,40 +63,40 @@
         first.iter().cloned().chain(again).collect::<Vec<Arrival>>()
     };
     expect_that!(
-        worst_window(BOUND, &repeated(23), &asked).is_over(),
+        worst_window(BOUND, &repeated(23), &sent_at).exceeds_bound(),
         eq(false)
     );
     expect_that!(
-        worst_window(BOUND, &repeated(24), &asked).is_over(),
+        worst_window(BOUND, &repeated(24), &sent_at).exceeds_bound(),
         eq(true)
     );
 }
 
 #[gtest]
-fn requests_of_the_window_before_count_and_older_ones_do_not() {
+fn requests_of_the_previous_window_count_and_older_ones_do_not() {
     let start = Instant::now() + Duration::from_secs(60);
     let moments = [21.0; 8];
-    let judged = |asked_at: f64| {
-        let asked = vec![at(start, asked_at); 25];
-        worst_window(BOUND, &arrivals(start, &moments, 2), &asked).is_over()
+    let exceeds_bound = |sent_seconds: f64| {
+        let sent_at = vec![at(start, sent_seconds); 25];
+        worst_window(BOUND, &arrivals(start, &moments, 2), &sent_at).exceeds_bound()
     };
-    expect_that!(judged(11.5), eq(false));
-    // The window may begin at 11.0 at the earliest, and the one before it at 1.0.
-    expect_that!(judged(0.5), eq(true));
+    expect_that!(exceeds_bound(11.5), eq(false));
+    // The window begins at 11.0 at the earliest, and the previous one at 1.0.
+    expect_that!(exceeds_bound(0.5), eq(true));
 }
 
 proptest! {
-    /// Against a naive search over windows that begin at every tenth of a second.
+    /// Compares with a naive search over windows that begin at every tenth of a second.
     #[test]
     fn no_window_on_a_grid_is_worse(
         repeated in prop::collection::vec(0u32..400, 0..40),
-        asked in prop::collection::vec(0u32..400, 0..60),
+        sent_at in prop::collection::vec(0u32..400, 0..60),
     ) {
         let start = Instant::now() + Duration::from_secs(120);
         let moment = |tenths: &u32| at(start, f64::from(*tenths) / 10.0);
         let moments: Vec<f64> = repeated.iter().map(|tenths| f64::from(*tenths) / 10.0).collect();
-        let asked: Vec<Instant> = asked.iter().map(moment).collect();
-        let worst = worst_window(BOUND, &arrivals(start, &moments, 2), &asked);
+        let sent_at: Vec<Instant> = sent_at.iter().map(moment).collect();
+        let worst = worst_window(BOUND, &arrivals(start, &moments, 2), &sent_at);
         let count = |of: &[Instant], from: Instant| {
             of.iter().filter(|at| **at >= from && **at <= from + BOUND.window).count()
         };
@@ -104,7 +104,7 @@
         for tenths in 0u32..800 {
             let from = at(start, f64::from(tenths) / 10.0) - BOUND.window * 2;
             let requests = [0, 1, 2]
-                .map(|halves| count(&asked, from - BOUND.window / 2 * halves))
+                .map(|halves| count(&sent_at, from - BOUND.window / 2 * halves))
                 .into_iter()
                 .max()
                 .unwrap_or(0);
--- a/crates/coursestand-lab/tests/verdict.rs
+++ b/crates/coursestand-lab/tests/verdict.rs
@@ -1,23 +1,23 @@
-//! The checker finds each broken promise: one that can't fail proves nothing.
+//! The check of a run detects each kind of violation.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 
-use coursestand_lab::callers::{Finding, Finished};
-use coursestand_lab::load::errand;
+use coursestand_lab::callers::{FinishedRequest, RequestOutcome};
+use coursestand_lab::load::default_request;
 use coursestand_lab::records::{Ending, Record};
-use coursestand_lab::verdict::{LEAVING_WITHIN_MS, Verdict, check};
+use coursestand_lab::verdict::{LEAVING_GRACE_MS, Verdict, check};
 use googletest::prelude::*;
 
-fn finished(token: &str, finding: Finding, key: Option<&str>) -> Finished {
-    let mut errand = errand("desk", "10.1.0.1".to_owned(), token, Duration::from_secs(1));
-    errand.key = key.map(str::to_owned);
-    Finished {
-        errand,
-        finding,
+fn finished_request(token: &str, outcome: RequestOutcome, key: Option<&str>) -> FinishedRequest {
+    let mut request = default_request("desk", "10.1.0.1".to_owned(), token, Duration::from_secs(1));
+    request.key = key.map(str::to_owned);
+    FinishedRequest {
+        request,
+        outcome,
         not_run_attempts: 0,
         any_unknown: false,
-        took: Duration::ZERO,
+        elapsed: Duration::ZERO,
     }
 }
 
@@ -39,27 +39,27 @@
 }
 
 #[gtest]
-fn a_good_run_is_good() {
+fn a_run_without_violations_passes() {
     let records = [record("a", Ending::Completed)];
-    let told = [
-        finished("a", Finding::Answered, Some("1-a")),
-        finished("b", Finding::NotRun, Some("1-b")),
+    let requests = [
+        finished_request("a", RequestOutcome::Answered, Some("1-a")),
+        finished_request("b", RequestOutcome::NotRun, Some("1-b")),
     ];
-    expect_that!(check(&told, &records).is_good(), eq(true));
+    expect_that!(check(&requests, &records).has_no_violations(), eq(true));
 }
 
 #[gtest]
-fn each_broken_promise_is_found() {
+fn each_kind_of_violation_is_detected() {
     let run = record("a", Ending::Completed);
-    let late = Record {
-        leaving_for_ms: Some(LEAVING_WITHIN_MS + 1),
+    let late_at_leaving = Record {
+        leaving_for_ms: Some(LEAVING_GRACE_MS + 1),
         ..run.clone()
     };
     let none = Verdict::default();
-    let wrong = Finding::WrongAnswer("another's".to_owned());
-    for (told, records, verdict) in [
+    let wrong = RequestOutcome::WrongAnswer("another's".to_owned());
+    for (request, records, verdict) in [
         (
-            finished("a", wrong, None),
+            finished_request("a", wrong, None),
             vec![run.clone()],
             Verdict {
                 wrong_answers: 1,
@@ -67,7 +67,7 @@
             },
         ),
         (
-            finished("a", Finding::NotRun, None),
+            finished_request("a", RequestOutcome::NotRun, None),
             vec![run.clone()],
             Verdict {
                 false_not_run: 1,
@@ -75,7 +75,7 @@
             },
         ),
         (
-            finished("a", Finding::Answered, None),
+            finished_request("a", RequestOutcome::Answered, None),
             vec![],
             Verdict {
                 answered_unrun: 1,
@@ -83,7 +83,7 @@
             },
         ),
         (
-            finished("a", Finding::Unknown, Some("1-a")),
+            finished_request("a", RequestOutcome::Unknown, Some("1-a")),
             vec![run.clone(), record("a", Ending::Cancelled)],
             Verdict {
                 ran_twice: 1,
@@ -91,7 +91,7 @@
             },
         ),
         (
-            finished("a", Finding::Unknown, None),
+            finished_request("a", RequestOutcome::Unknown, None),
             vec![record("a", Ending::Shed)],
             Verdict {
                 over_slots: 1,
@@ -99,14 +99,14 @@
             },
         ),
         (
-            finished("a", Finding::Answered, None),
-            vec![late],
+            finished_request("a", RequestOutcome::Answered, None),
+            vec![late_at_leaving],
             Verdict {
                 to_leaving: 1,
                 ..none
             },
         ),
     ] {
-        expect_that!(check(&[told], &records), eq(&verdict));
+        expect_that!(check(&[request], &records), eq(&verdict));
     }
 }
--- a/crates/coursestand-proxy/tests/answers.rs
+++ b/crates/coursestand-proxy/tests/answers.rs
@@ -17,14 +17,14 @@
 /// Everything that is not the back end's whole answer to the request.
 fn broken() -> Vec<Behaviour> {
     vec![
-        Behaviour::Lose,
-        Behaviour::Cut,
-        Behaviour::CutChunks,
+        Behaviour::CloseWithoutAnswer,
+        Behaviour::TruncatedAnswer,
+        Behaviour::TruncatedChunks,
         Behaviour::UnframedReset,
         Behaviour::Garbage,
         Behaviour::WrongId,
         Behaviour::Unsigned,
-        Behaviour::Encoded,
+        Behaviour::UnrequestedEncoding,
         Behaviour::UnprovenRefusal,
     ]
 }
@@ -83,7 +83,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_second_answer_is_not_taken_for_the_next_request() {
-    for behaviour in [Behaviour::Double, Behaviour::Early] {
+    for behaviour in [Behaviour::DuplicateAnswer, Behaviour::EarlyAnswer] {
         let edge = Edge::start(Rules::default(), vec![(vec![behaviour], GOOD)]).await;
         let mut caller = Caller::connect(edge.server.address()).await;
         let long = vec![b'x'; 300_000];
@@ -125,7 +125,7 @@
     }
     drop(caller);
     // The back end sees that its caller has gone.
-    tokio::time::timeout(common::WITHIN, edge.backends[0].abandoned(1))
+    tokio::time::timeout(common::WITHIN, edge.backends[0].wait_for_abandoned(1))
         .await
         .expect("the request is cancelled");
     let answer = edge.ask("/safe/a", "r2").await;
@@ -158,10 +158,10 @@
 async fn the_check_finds_what_a_naive_relay_mixes() {
     let mut found = 0;
     for behaviour in [
-        Behaviour::Cut,
+        Behaviour::TruncatedAnswer,
         Behaviour::WrongId,
         Behaviour::Unsigned,
-        Behaviour::Encoded,
+        Behaviour::UnrequestedEncoding,
     ] {
         let backend = ScriptedBackend::start(vec![], behaviour)
             .await
--- a/crates/coursestand-proxy/tests/attempts.rs
+++ b/crates/coursestand-proxy/tests/attempts.rs
@@ -25,8 +25,8 @@
 
 fn lossy() -> Vec<Behaviour> {
     vec![
-        Behaviour::Lose,
-        Behaviour::Cut,
+        Behaviour::CloseWithoutAnswer,
+        Behaviour::TruncatedAnswer,
         Behaviour::Garbage,
         Behaviour::WrongId,
         Behaviour::UnprovenRefusal,
@@ -96,7 +96,10 @@
 #[gtest]
 #[tokio::test]
 async fn with_the_mechanism_off_it_runs_twice() {
-    let scripts = vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
+    let scripts = vec![
+        (vec![], Behaviour::CloseWithoutAnswer),
+        (vec![], Behaviour::CloseWithoutAnswer),
+    ];
     let edge = Edge::start_with(Rules::default(), scripts, |state| {
         Arc::new(RetryAll(Router::new(state)))
     })
@@ -128,7 +131,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_back_end_that_refuses_though_it_is_idle_gets_the_request_again() {
-    let script = vec![Behaviour::ShedTelling("1,0,4")];
+    let script = vec![Behaviour::ShedWithLoad("1,0,4")];
     let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
     expect_that!(edge.ask("/once/a", "r1").await.status, eq(200));
     expect_that!(edge.runs_of("r1"), eq(1));
@@ -137,7 +140,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_back_end_that_refuses_because_requests_wait_does_not_get_it_again() {
-    let script = vec![Behaviour::ShedTelling("4,12,4")];
+    let script = vec![Behaviour::ShedWithLoad("4,12,4")];
     let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
     expect_that!(edge.ask("/once/a", "r1").await.status, eq(503));
     expect_that!(edge.arrivals(), eq(1));
@@ -146,7 +149,7 @@
 #[gtest]
 #[tokio::test]
 async fn refusals_of_an_idle_back_end_do_not_make_it_count_as_full() {
-    let script = vec![Behaviour::ShedTelling("0,0,4"); 2];
+    let script = vec![Behaviour::ShedWithLoad("0,0,4"); 2];
     let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
     // Both attempts of the first request are refused; the next one is served.
     expect_that!(edge.ask("/once/a", "r1").await.status, eq(503));
@@ -157,8 +160,8 @@
 #[tokio::test]
 async fn once_any_attempt_may_have_run_the_answer_promises_nothing() {
     let scripts = vec![
-        (vec![Behaviour::Lose], Behaviour::Shed),
-        (vec![Behaviour::Lose], Behaviour::Shed),
+        (vec![Behaviour::CloseWithoutAnswer], Behaviour::Shed),
+        (vec![Behaviour::CloseWithoutAnswer], Behaviour::Shed),
     ];
     let edge = Edge::start(
         Rules {
@@ -198,7 +201,10 @@
         retry_ratio: 0.2,
         ..Rules::default()
     };
-    let scripts = vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
+    let scripts = vec![
+        (vec![], Behaviour::CloseWithoutAnswer),
+        (vec![], Behaviour::CloseWithoutAnswer),
+    ];
     let edge = Edge::start(rules, scripts).await;
     let requests: usize = 100;
     for number in 0..requests {
@@ -216,12 +222,12 @@
     for phase in [InstancePhase::Draining, InstancePhase::Gone] {
         let address = edge.backends[0].address();
         edge.state.adopt_instances(vec![news(0, address, phase)]);
-        let before = edge.backends[0].arrivals();
+        let before = edge.backends[0].arrival_count();
         for number in 0..20 {
             let answer = edge.ask("/safe/a", &format!("{phase:?}{number}")).await;
             expect_that!(answer.status, eq(200));
         }
-        expect_that!(edge.backends[0].arrivals(), eq(before));
+        expect_that!(edge.backends[0].arrival_count(), eq(before));
         // A late word that it is ready changes nothing.
         edge.state
             .adopt_instances(vec![news(0, address, InstancePhase::Ready)]);
@@ -258,10 +264,10 @@
         timeout_ms: 200,
         ..Rules::default()
     };
-    let edge = Edge::start(rules, vec![(vec![], Behaviour::Silence)]).await;
+    let edge = Edge::start(rules, vec![(vec![], Behaviour::NeverAnswer)]).await;
     let answer = edge.ask("/once/a", "r1").await;
     expect_that!(answer.status, eq(504));
-    tokio::time::timeout(common::WITHIN, edge.backends[0].abandoned(1))
+    tokio::time::timeout(common::WITHIN, edge.backends[0].wait_for_abandoned(1))
         .await
         .expect("the back end is told to stop");
 }
@@ -298,12 +304,12 @@
     edge.state.adopt_instances(vec![cold]);
     for is_following in [false, true, false] {
         edge.state.set_following(is_following);
-        let before = backend.arrivals();
+        let before = backend.arrival_count();
         let answer = edge
             .ask("/safe/a", &format!("{before}{is_following}"))
             .await;
         expect_that!(answer.status, eq(if is_following { 200 } else { 503 }));
-        expect_that!(backend.arrivals() > before, eq(is_following));
+        expect_that!(backend.arrival_count() > before, eq(is_following));
     }
 }
 
@@ -319,7 +325,12 @@
 #[gtest]
 #[tokio::test]
 async fn each_decision_about_a_retry_is_counted_with_its_reason() {
-    let scripts = || vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
+    let scripts = || {
+        vec![
+            (vec![], Behaviour::CloseWithoutAnswer),
+            (vec![], Behaviour::CloseWithoutAnswer),
+        ]
+    };
     let edge = Edge::start(Rules::default(), scripts()).await;
     edge.ask("/safe/a", "r1").await;
     expect_that!(retries_counted(&edge, "paid"), eq(1));
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -34,7 +34,7 @@
 
 const GOOD: Behaviour = Behaviour::Answer(200);
 /// Refuses as an idle back end would, and asks for two seconds without requests.
-const ASKING: Behaviour = Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 2\r\n");
+const ASKING: Behaviour = Behaviour::ShedWithHeaders("x-load: 0,0,4\r\nretry-after: 2\r\n");
 const ASKED: Duration = Duration::from_secs(2);
 /// Between two requests of a test.
 const PAUSE: Duration = Duration::from_millis(10);
@@ -56,7 +56,7 @@
 async fn until_it_is_met(edge: &Edge, backend: usize) -> Instant {
     let begin = Instant::now();
     for number in 0.. {
-        if edge.backends[backend].arrivals() > 0 {
+        if edge.backends[backend].arrival_count() > 0 {
             break;
         }
         assert!(begin.elapsed() < common::WITHIN, "no request meets it");
@@ -70,12 +70,12 @@
 async fn a_back_end_that_asks_for_a_backoff_gets_nothing_until_its_end() {
     for asking in [
         ASKING,
-        Behaviour::UnprovenRefusalWith("x-load: 0,0,4\r\nretry-after: 2\r\n"),
+        Behaviour::UnprovenRefusalWithHeaders("x-load: 0,0,4\r\nretry-after: 2\r\n"),
     ] {
         let scripts = vec![(vec![], asking), (vec![], GOOD), (vec![], GOOD)];
         let edge = Edge::start(Rules::default(), scripts).await;
         let met = until_it_is_met(&edge, 0).await;
-        let before = edge.backends[0].arrivals();
+        let before = edge.backends[0].arrival_count();
         let mut number = 0;
         while met.elapsed() < ASKED - AT_ONCE {
             number += 1;
@@ -83,7 +83,7 @@
             expect_that!(answer.status, eq(200));
             tokio::time::sleep(PAUSE).await;
         }
-        expect_that!(edge.backends[0].arrivals(), eq(before));
+        expect_that!(edge.backends[0].arrival_count(), eq(before));
     }
 }
 
@@ -100,7 +100,7 @@
 #[gtest]
 #[tokio::test]
 async fn with_all_back_ends_backing_off_requests_are_refused_at_once() {
-    let longer = Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 30\r\n");
+    let longer = Behaviour::ShedWithHeaders("x-load: 0,0,4\r\nretry-after: 30\r\n");
     let scripts = vec![(vec![], ASKING), (vec![], longer)];
     let edge = Edge::start(Rules::default(), scripts).await;
     for backend in [0, 1] {
@@ -123,16 +123,16 @@
 async fn a_back_end_that_says_with_an_answer_that_it_drains_gets_nothing_more() {
     let said = "x-draining: 1\r\n";
     for saying in [
-        Behaviour::AnswerWith(200, said),
-        Behaviour::AnswerWith(500, said),
-        Behaviour::ShedWith(said),
-        Behaviour::UnprovenRefusalWith(said),
-        Behaviour::CutWith(said),
+        Behaviour::AnswerWithHeaders(200, said),
+        Behaviour::AnswerWithHeaders(500, said),
+        Behaviour::ShedWithHeaders(said),
+        Behaviour::UnprovenRefusalWithHeaders(said),
+        Behaviour::TruncatedAnswerWithHeaders(said),
     ] {
         let scripts = vec![(vec![], saying), (vec![], GOOD)];
         let edge = Edge::start(Rules::default(), scripts).await;
         until_it_is_met(&edge, 0).await;
-        let before = edge.backends[0].arrivals();
+        let before = edge.backends[0].arrival_count();
         // What discovery still tells of it changes nothing.
         let mut ready = news(0, edge.backends[0].address(), InstancePhase::Ready);
         ready.instance.sequence = 100;
@@ -141,14 +141,14 @@
             let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
             expect_that!(answer.status, eq(200));
         }
-        expect_that!(edge.backends[0].arrivals(), eq(before));
+        expect_that!(edge.backends[0].arrival_count(), eq(before));
     }
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_back_end_serves_again_once_its_backoff_has_ended() {
-    let asking = Behaviour::ShedWith("retry-after: 0.3\r\n");
+    let asking = Behaviour::ShedWithHeaders("retry-after: 0.3\r\n");
     let scripts = vec![(vec![asking], GOOD)];
     let edge = Edge::start(Rules::default(), scripts).await;
     ask(&edge, "/safe/a", "first").await;
@@ -315,10 +315,10 @@
     }
     until_it_is_met(&edge, 0).await;
     edge.state.adopt_finding(&says(3, 2));
-    let before = edge.backends[0].arrivals();
+    let before = edge.backends[0].arrival_count();
     for number in 0..20 {
         let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
         expect_that!(answer.status, eq(200));
     }
-    expect_that!(edge.backends[0].arrivals(), eq(before));
+    expect_that!(edge.backends[0].arrival_count(), eq(before));
 }
--- a/crates/coursestand-proxy/tests/callers_that_leave.rs
+++ b/crates/coursestand-proxy/tests/callers_that_leave.rs
@@ -69,7 +69,8 @@
             pause(5).await;
         }
         drop(caller);
-        let stopped = tokio::time::timeout(BROKEN_OFF, edge.backends[0].abandoned(1)).await;
+        let stopped =
+            tokio::time::timeout(BROKEN_OFF, edge.backends[0].wait_for_abandoned(1)).await;
         expect_that!(stopped, ok(anything()), "{path}");
     }
 }
@@ -84,7 +85,7 @@
         ..Rules::default()
     };
     let edge = Edge::start(rules, scripts).await;
-    let first = ScriptedBackend::start(vec![], Behaviour::Lose)
+    let first = ScriptedBackend::start(vec![], Behaviour::CloseWithoutAnswer)
         .await
         .expect("a back end");
     for number in 3..9 {
@@ -93,15 +94,18 @@
     }
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "left", "", b"").await;
-    while edge.arrivals() + first.arrivals() == 0 || edge.arrivals() == 0 {
+    while edge.arrivals() + first.arrival_count() == 0 || edge.arrivals() == 0 {
         pause(5).await;
     }
     drop(caller);
-    let all = || edge.arrivals() + first.arrivals();
+    let all = || edge.arrivals() + first.arrival_count();
     let before = all();
     pause(BROKEN_OFF.as_millis() as u64).await;
     expect_that!(all(), eq(before));
-    let stopped = edge.backends.iter().map(|backend| backend.abandoned(1));
+    let stopped = edge
+        .backends
+        .iter()
+        .map(|backend| backend.wait_for_abandoned(1));
     let any = futures::future::select_all(stopped.map(Box::pin));
     let stopped = tokio::time::timeout(Duration::from_millis(1), any).await;
     expect_that!(stopped.is_ok(), eq(true));
@@ -189,6 +193,6 @@
     }
     pause(100).await;
     drop(caller);
-    let stopped = tokio::time::timeout(BROKEN_OFF, edge.backends[0].abandoned(1)).await;
+    let stopped = tokio::time::timeout(BROKEN_OFF, edge.backends[0].wait_for_abandoned(1)).await;
     expect_that!(stopped, ok(anything()));
 }
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -189,7 +189,10 @@
     }
 
     pub fn arrivals(&self) -> usize {
-        self.backends.iter().map(ScriptedBackend::arrivals).sum()
+        self.backends
+            .iter()
+            .map(ScriptedBackend::arrival_count)
+            .sum()
     }
 
     pub async fn ask(&self, path: &str, id: &str) -> Answer {
--- a/crates/coursestand-proxy/tests/fatal_requests.rs
+++ b/crates/coursestand-proxy/tests/fatal_requests.rs
@@ -28,11 +28,11 @@
 
 fn ended(edge: &Edge) -> usize {
     let backends = edge.backends.iter();
-    backends.filter(|backend| backend.has_ended()).count()
+    backends.filter(|backend| backend.has_crashed()).count()
 }
 
 async fn edge() -> Edge {
-    let script = (vec![], Behaviour::EndUnder("deadly"));
+    let script = (vec![], Behaviour::CrashOn("deadly"));
     Edge::start(Rules::default(), vec![script; BACKENDS]).await
 }
 
@@ -53,7 +53,11 @@
     let refused = ask(&edge, "/safe/deadly", "last", "deadly").await;
     expect_that!(refused.status, eq(503));
     expect_that!(refused.header("retry-after"), some(anything()));
-    let arrived: usize = edge.backends.iter().map(ScriptedBackend::arrivals).sum();
+    let arrived: usize = edge
+        .backends
+        .iter()
+        .map(ScriptedBackend::arrival_count)
+        .sum();
     ask(&edge, "/safe/deadly", "once more", "deadly").await;
     expect_that!(edge.arrivals(), eq(arrived));
 }
--- a/crates/coursestand-proxy/tests/narrow_link.rs
+++ b/crates/coursestand-proxy/tests/narrow_link.rs
@@ -43,7 +43,7 @@
     let link = NarrowLink::new(LINK_BYTES);
     let mut backends = Vec::new();
     for number in 0..BACKENDS {
-        let backend = ScriptedBackend::start(vec![], Behaviour::Sized(ANSWER_BYTES));
+        let backend = ScriptedBackend::start(vec![], Behaviour::AnswerOfSize(ANSWER_BYTES));
         let backend = backend.await.expect("a back end");
         let address = link.behind(backend.address()).await;
         edge.state
