--- a/crates/coursestand-proxy/tests/offers.rs
+++ b/crates/coursestand-proxy/tests/offers.rs
@@ -29,17 +29,17 @@
         Behaviour::Answer(500),
         Behaviour::Shed,
         Behaviour::Shed,
-        Behaviour::ShedTelling("0,0,4"),
+        Behaviour::ShedWithLoad("0,0,4"),
         Behaviour::Misdirected,
         Behaviour::UnprovenRefusal,
-        Behaviour::Lose,
-        Behaviour::Silence,
-        Behaviour::Cut,
-        Behaviour::CutChunks,
+        Behaviour::CloseWithoutAnswer,
+        Behaviour::NeverAnswer,
+        Behaviour::TruncatedAnswer,
+        Behaviour::TruncatedChunks,
         Behaviour::Garbage,
         Behaviour::WrongId,
         Behaviour::Unsigned,
-        Behaviour::Double,
+        Behaviour::DuplicateAnswer,
     ]
 }
 
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -18,8 +18,8 @@
 use googletest::prelude::*;
 use tokio::task::JoinHandle;
 
-const LIMITED: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 5\r\n");
-const NAMES_LITTLE: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 0.2\r\n");
+const LIMITED: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 5\r\n");
+const NAMES_LITTLE: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 0.2\r\n");
 const GOOD: Behaviour = Behaviour::Answer(200);
 /// Far less than any time-out.
 const AT_ONCE: Duration = Duration::from_millis(300);
@@ -79,9 +79,9 @@
     let edge = Edge::start(Rules::default(), scripts).await;
     let control = issue_tokens(&edge.state);
     ask_for(&edge, "before", Duration::from_millis(200)).await;
-    let before = edge.backends[0].arrivals();
+    let before = edge.backends[0].arrival_count();
     let answers = ask_for(&edge, "after", Duration::from_secs(3)).await;
-    let arrived = edge.backends[0].arrivals() - before;
+    let arrived = edge.backends[0].arrival_count() - before;
     expect_that!(arrived, all![ge(10), le(17)]);
     expect_that!(answers.iter().all(|answer| answer.status == 200), eq(true));
     control.abort();
@@ -133,10 +133,10 @@
         // Connected with control, of which no process leads.
         edge.state.set_following(follows);
         ask_for(&edge, "before", Duration::from_millis(500)).await;
-        let before = edge.backends[0].arrivals();
+        let before = edge.backends[0].arrival_count();
         ask_for(&edge, "after", Duration::from_secs(4)).await;
         // Two a second are the part of all daemons; it knows no other.
-        let arrived = edge.backends[0].arrivals() - before;
+        let arrived = edge.backends[0].arrival_count() - before;
         expect_that!(arrived, all![ge(1), le(9)], "follows: {follows}");
     }
 }
--- a/crates/coursestand-proxy/tests/serving.rs
+++ b/crates/coursestand-proxy/tests/serving.rs
@@ -90,7 +90,7 @@
         ..Rules::default()
     };
     for has_end in [true, false] {
-        let edge = Edge::start(rules, vec![(vec![], Behaviour::Silence)]).await;
+        let edge = Edge::start(rules, vec![(vec![], Behaviour::NeverAnswer)]).await;
         edge.server.announce_stop();
         if has_end {
             edge.exchange
--- a/crates/coursestand-proxy/tests/silent_connections.rs
+++ b/crates/coursestand-proxy/tests/silent_connections.rs
@@ -11,7 +11,7 @@
 use common::{Answer, Caller, Edge, PROMISES, Rules, news};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
-use coursestand_lab::silent_relay::{Carriage, SilentRelay};
+use coursestand_lab::silent_relay::{Forwarding, SilentRelay};
 use googletest::prelude::*;
 use tokio::time::Instant;
 
@@ -58,9 +58,9 @@
         Fleet::start(rules(), vec![(vec![], GOOD)]).await
     }
 
-    fn silence(&self, carriage: Carriage) {
+    fn silence(&self, carriage: Forwarding) {
         for relay in &self.relays {
-            relay.silence(carriage);
+            relay.restrict_open_connections(carriage);
         }
     }
 
@@ -114,7 +114,11 @@
 #[gtest]
 #[tokio::test]
 async fn kept_connections_that_are_silent_cost_one_repeat_and_no_deadline() {
-    for carriage in [Carriage::Nothing, Carriage::Requests, Carriage::NoSegment] {
+    for carriage in [
+        Forwarding::Discard,
+        Forwarding::RequestsOnly,
+        Forwarding::DropSegments,
+    ] {
         let fleet = Fleet::start(rules(), vec![(vec![], slow())]).await;
         fleet.ask_together("/safe/a", "warm", 4).await;
         settle().await;
@@ -143,7 +147,7 @@
         let asked = fleet.ask_together("/safe/a", "flying", 3);
         let silenced = async {
             settle().await;
-            fleet.silence(Carriage::Nothing);
+            fleet.silence(Forwarding::Discard);
         };
         let (answers, ()) = tokio::join!(asked, silenced);
         for (answer, took) in answers {
@@ -159,7 +163,7 @@
     let fleet = Fleet::of_one().await;
     fleet.ask("/safe/a", "warm").await;
     for round in 0..4 {
-        fleet.silence(Carriage::Nothing);
+        fleet.silence(Forwarding::Discard);
         settle().await;
         let (answer, took) = fleet.ask("/safe/a", &format!("first{round}")).await;
         expect_that!(answer.status, eq(200));
@@ -174,9 +178,9 @@
 #[tokio::test]
 async fn a_request_that_must_not_be_repeated_runs_once_at_most_on_a_silent_connection() {
     for (carriage, runs) in [
-        (Carriage::Nothing, 0),
-        (Carriage::Requests, 1),
-        (Carriage::NoSegment, 0),
+        (Forwarding::Discard, 0),
+        (Forwarding::RequestsOnly, 1),
+        (Forwarding::DropSegments, 0),
     ] {
         let fleet = Fleet::start(
             Rules {
@@ -216,7 +220,7 @@
     settle().await;
     let warm = fleet.relays.iter().filter(|relay| relay.connections() > 0);
     expect_that!(warm.count(), eq(6));
-    fleet.silence(Carriage::Nothing);
+    fleet.silence(Forwarding::Discard);
     settle().await;
     for number in 0..20 {
         let (answer, _) = fleet.ask("/safe/a", &format!("r{number}")).await;
@@ -259,7 +263,7 @@
     let fleet = Fleet::start(rules, vec![(vec![], GOOD)]).await;
     fleet.ask("/safe/a", "warm").await;
     settle().await;
-    fleet.silence(Carriage::Requests);
+    fleet.silence(Forwarding::RequestsOnly);
     settle().await;
     let (answer, _) = fleet.ask("/safe/a", "lost").await;
     expect_that!(answer.status, eq(504));
@@ -272,7 +276,7 @@
     let fleet = Fleet::of_one().await;
     fleet.ask("/once/a", "warm").await;
     settle().await;
-    fleet.silence(Carriage::NoSegment);
+    fleet.silence(Forwarding::DropSegments);
     // Within the time for which an idle connection is kept.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let (answer, _) = fleet.ask("/once/a", "r1").await;
--- a/crates/coursestand-proxy/tests/unread_headers.rs
+++ b/crates/coursestand-proxy/tests/unread_headers.rs
@@ -13,7 +13,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_header_that_nothing_reads_is_counted_by_its_name() {
-    let scripts = vec![(vec![], Behaviour::AnswerWith(200, LINES))];
+    let scripts = vec![(vec![], Behaviour::AnswerWithHeaders(200, LINES))];
     let edge = Edge::start(Rules::default(), scripts).await;
     for number in 0..3 {
         edge.ask("/safe/a", &format!("r{number}")).await;
@@ -34,7 +34,7 @@
     let lines: String = (0..40)
         .map(|number| format!("x-n{number}: 1\r\n"))
         .collect();
-    let scripts = vec![(vec![], Behaviour::AnswerWith(200, lines.leak()))];
+    let scripts = vec![(vec![], Behaviour::AnswerWithHeaders(200, lines.leak()))];
     let edge = Edge::start(Rules::default(), scripts).await;
     edge.ask("/safe/a", "r").await;
     expect_that!(edge.exchange.unread_headers().views().len(), eq(16));
--- a/crates/coursestand-routing/tests/retry_budget/main.rs
+++ b/crates/coursestand-routing/tests/retry_budget/main.rs
@@ -127,14 +127,14 @@
 fn retries_of_all_daemons_stay_within_the_limit() {
     for seed in 0..runs() {
         let worst = simulate::<Bounded>(seed);
-        expect_that!(worst.is_over(), eq(false), "seed {seed}: {worst:?}");
+        expect_that!(worst.exceeds_bound(), eq(false), "seed {seed}: {worst:?}");
     }
 }
 
 /// Shows that the test above detects the fault.
 #[gtest]
 fn without_a_settling_time_the_limit_is_exceeded() {
-    let exceeded = (0..RUNS).filter(|seed| simulate::<Naive>(*seed).is_over());
+    let exceeded = (0..RUNS).filter(|seed| simulate::<Naive>(*seed).exceeds_bound());
     expect_that!(exceeded.count(), gt(RUNS as usize / 4));
 }
 
@@ -222,13 +222,13 @@
 fn retries_that_arrive_late_stay_within_the_limit() {
     for seed in 0..runs() {
         let worst = simulate_suspensions(seed, true);
-        expect_that!(worst.is_over(), eq(false), "seed {seed}: {worst:?}");
+        expect_that!(worst.exceeds_bound(), eq(false), "seed {seed}: {worst:?}");
     }
 }
 
 /// Shows that the test above detects the fault.
 #[gtest]
 fn without_withholding_retries_late_arrivals_exceed_the_limit() {
-    let exceeded = (0..RUNS).filter(|seed| simulate_suspensions(*seed, false).is_over());
+    let exceeded = (0..RUNS).filter(|seed| simulate_suspensions(*seed, false).exceeds_bound());
     expect_that!(exceeded.count(), gt(10));
 }
