--- a/crates/coursestand-proxy/tests/attempts.rs
+++ b/crates/coursestand-proxy/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! How often a request is sent: at most once where it must not be repeated, within
-//! its attempts and the budget elsewhere, and never to a back end that leaves.
+//! How often a request is sent: at most once if it must not be repeated, otherwise within the
+//! attempts of its route and the retry budget, and never to a back end that is leaving.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Caller, Edge, PROMISES, Rules, news};
+use common::{Caller, Edge, NOT_RUN_STATUSES, RouteSettings, instance_update};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 use coursestand_proxy::answer::Reason;
@@ -23,7 +23,7 @@
 
 const GOOD: Behaviour = Behaviour::Answer(200);
 
-fn lossy() -> Vec<Behaviour> {
+fn ambiguous_failures() -> Vec<Behaviour> {
     vec![
         Behaviour::Lose,
         Behaviour::Cut,
@@ -34,7 +34,7 @@
     ]
 }
 
-/// The phases with one mechanism off: everything is sent again.
+/// Request phases that grant every retry.
 struct RetryAll(Router);
 
 impl RequestPhases for RetryAll {
@@ -66,8 +66,8 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport) {
         self.0.failed(target, failure, report);
     }
-    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>) {
-        self.0.crashed(target, witnesses);
+    fn crashed(&self, target: &Target, in_flight_requests: Vec<Fingerprint>) {
+        self.0.crashed(target, in_flight_requests);
     }
     fn finished(&self, target: &Target, ending: AttemptEnding) {
         self.0.finished(target, ending);
@@ -79,14 +79,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_must_not_be_repeated_runs_once_whatever_is_lost() {
-    for behaviour in lossy() {
+async fn a_request_that_must_not_be_repeated_runs_once_whatever_fails() {
+    for behaviour in ambiguous_failures() {
         let scripts = vec![(vec![], behaviour.clone()), (vec![], behaviour.clone())];
-        let edge = Edge::start(Rules::default(), scripts).await;
-        let answer = edge.ask("/once/a", "r1").await;
+        let edge = Edge::start(RouteSettings::default(), scripts).await;
+        let answer = edge.request("/once/a", "r1").await;
         expect_that!(edge.runs_of("r1"), eq(1), "{behaviour:?}");
         expect_that!(
-            PROMISES.contains(&answer.status),
+            NOT_RUN_STATUSES.contains(&answer.status),
             eq(false),
             "{behaviour:?}"
         );
@@ -95,30 +95,30 @@
 
 #[gtest]
 #[tokio::test]
-async fn with_the_mechanism_off_it_runs_twice() {
+async fn when_every_retry_is_granted_it_runs_twice() {
     let scripts = vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
-    let edge = Edge::start_with(Rules::default(), scripts, |state| {
+    let edge = Edge::start_with(RouteSettings::default(), scripts, |state| {
         Arc::new(RetryAll(Router::new(state)))
     })
     .await;
-    edge.ask("/once/a", "r1").await;
+    edge.request("/once/a", "r1").await;
     expect_that!(edge.runs_of("r1"), gt(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_refusal_with_proof_is_tried_elsewhere_and_else_told_as_not_run() {
+async fn a_refusal_with_proof_is_retried_elsewhere_or_reported_as_not_run() {
     let scripts = vec![(vec![], Behaviour::Shed), (vec![], GOOD)];
-    let edge = Edge::start(Rules::default(), scripts).await;
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
     for number in 0..4 {
         let id = format!("r{number}");
-        expect_that!(edge.ask("/once/a", &id).await.status, eq(200));
+        expect_that!(edge.request("/once/a", &id).await.status, eq(200));
         expect_that!(edge.runs_of(&id), eq(1));
     }
     for behaviour in [Behaviour::Shed, Behaviour::Misdirected] {
         let scripts = vec![(vec![], behaviour.clone()), (vec![], behaviour)];
-        let edge = Edge::start(Rules::default(), scripts).await;
-        let answer = edge.ask("/once/a", "r1").await;
+        let edge = Edge::start(RouteSettings::default(), scripts).await;
+        let answer = edge.request("/once/a", "r1").await;
         expect_that!(answer.status, eq(503));
         expect_that!(answer.header("retry-after"), some(anything()));
         expect_that!(edge.runs_of("r1"), eq(0));
@@ -127,188 +127,193 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_refuses_though_it_is_idle_gets_the_request_again() {
+async fn an_idle_back_end_that_refuses_gets_the_request_again() {
     let script = vec![Behaviour::ShedTelling("1,0,4")];
-    let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
-    expect_that!(edge.ask("/once/a", "r1").await.status, eq(200));
+    let edge = Edge::start(RouteSettings::default(), vec![(script, GOOD)]).await;
+    expect_that!(edge.request("/once/a", "r1").await.status, eq(200));
     expect_that!(edge.runs_of("r1"), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_refuses_because_requests_wait_does_not_get_it_again() {
+async fn a_back_end_that_refuses_with_queued_requests_does_not_get_it_again() {
     let script = vec![Behaviour::ShedTelling("4,12,4")];
-    let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
-    expect_that!(edge.ask("/once/a", "r1").await.status, eq(503));
+    let edge = Edge::start(RouteSettings::default(), vec![(script, GOOD)]).await;
+    expect_that!(edge.request("/once/a", "r1").await.status, eq(503));
     expect_that!(edge.arrivals(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn refusals_of_an_idle_back_end_do_not_make_it_count_as_full() {
+async fn refusals_of_an_idle_back_end_do_not_mark_it_as_full() {
     let script = vec![Behaviour::ShedTelling("0,0,4"); 2];
-    let edge = Edge::start(Rules::default(), vec![(script, GOOD)]).await;
-    // Both attempts of the first request are refused; the next one is served.
-    expect_that!(edge.ask("/once/a", "r1").await.status, eq(503));
-    expect_that!(edge.ask("/once/a", "r2").await.status, eq(200));
+    let edge = Edge::start(RouteSettings::default(), vec![(script, GOOD)]).await;
+    // Both attempts of the first request are refused; the second request is served.
+    expect_that!(edge.request("/once/a", "r1").await.status, eq(503));
+    expect_that!(edge.request("/once/a", "r2").await.status, eq(200));
 }
 
 #[gtest]
 #[tokio::test]
-async fn once_any_attempt_may_have_run_the_answer_promises_nothing() {
+async fn once_an_attempt_may_have_run_the_answer_is_not_a_not_run_status() {
     let scripts = vec![
         (vec![Behaviour::Lose], Behaviour::Shed),
         (vec![Behaviour::Lose], Behaviour::Shed),
     ];
     let edge = Edge::start(
-        Rules {
+        RouteSettings {
             max_attempts: 4,
-            ..Rules::default()
+            ..RouteSettings::default()
         },
         scripts,
     )
     .await;
-    let answer = edge.ask("/safe/a", "r1").await;
+    let answer = edge.request("/safe/a", "r1").await;
     expect_that!(answer.status, eq(502));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_goes_to_no_more_back_ends_than_its_route_allows() {
+async fn a_request_is_sent_no_more_often_than_its_route_allows() {
     let scripts: Vec<_> = (0..5).map(|_| (vec![], Behaviour::Shed)).collect();
-    let rules = Rules {
+    let settings = RouteSettings {
         max_attempts: 2,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
-    let edge = Edge::start(rules, scripts.clone()).await;
-    edge.ask("/safe/a", "r1").await;
+    let edge = Edge::start(settings, scripts.clone()).await;
+    edge.request("/safe/a", "r1").await;
     expect_that!(edge.arrivals(), eq(2));
-    let all = Edge::start_with(rules, scripts, |state| {
+    let unlimited = Edge::start_with(settings, scripts, |state| {
         Arc::new(RetryAll(Router::new(state)))
     })
     .await;
-    all.ask("/safe/a", "r1").await;
-    expect_that!(all.arrivals(), gt(2));
+    unlimited.request("/safe/a", "r1").await;
+    expect_that!(unlimited.arrivals(), gt(2));
 }
 
 #[gtest]
 #[tokio::test]
-async fn repeats_end_when_the_budget_is_spent() {
-    let rules = Rules {
+async fn retries_end_when_the_budget_is_spent() {
+    let settings = RouteSettings {
         retry_ratio: 0.2,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
     let scripts = vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
-    let edge = Edge::start(rules, scripts).await;
+    let edge = Edge::start(settings, scripts).await;
     let requests: usize = 100;
     for number in 0..requests {
-        edge.ask("/safe/a", &format!("r{number}")).await;
+        edge.request("/safe/a", &format!("r{number}")).await;
     }
-    let repeats = edge.arrivals().saturating_sub(requests);
-    expect_that!(repeats as f64, le(0.2 * requests as f64));
-    expect_that!(repeats, gt(0));
+    let retries = edge.arrivals().saturating_sub(requests);
+    expect_that!(retries as f64, le(0.2 * requests as f64));
+    expect_that!(retries, gt(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_leaves_gets_nothing_more() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], GOOD), (vec![], GOOD)]).await;
+async fn a_leaving_back_end_gets_no_more_requests() {
+    let edge = Edge::start(
+        RouteSettings::default(),
+        vec![(vec![], GOOD), (vec![], GOOD)],
+    )
+    .await;
     for phase in [InstancePhase::Draining, InstancePhase::Gone] {
         let address = edge.backends[0].address();
-        edge.state.adopt_instances(vec![news(0, address, phase)]);
+        edge.state
+            .adopt_instances(vec![instance_update(0, address, phase)]);
         let before = edge.backends[0].arrivals();
         for number in 0..20 {
-            let answer = edge.ask("/safe/a", &format!("{phase:?}{number}")).await;
+            let answer = edge.request("/safe/a", &format!("{phase:?}{number}")).await;
             expect_that!(answer.status, eq(200));
         }
         expect_that!(edge.backends[0].arrivals(), eq(before));
-        // A late word that it is ready changes nothing.
+        // A late update that it is ready has no effect.
         edge.state
-            .adopt_instances(vec![news(0, address, InstancePhase::Ready)]);
+            .adopt_instances(vec![instance_update(0, address, InstancePhase::Ready)]);
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_is_given_no_more_time_than_is_left() {
-    let rules = Rules {
+async fn the_deadline_sent_to_a_back_end_is_the_remaining_time() {
+    let settings = RouteSettings {
         timeout_ms: 800,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
-    let edge = Edge::start(rules, vec![(vec![], GOOD)]).await;
+    let edge = Edge::start(settings, vec![(vec![], GOOD)]).await;
     let mut caller = Caller::connect(edge.server.address()).await;
     caller
-        .ask("/safe/a", "long", "x-deadline-ms: 2500\r\n")
+        .request("/safe/a", "long", "x-deadline-ms: 2500\r\n")
         .await;
     caller
-        .ask("/safe/a", "short", "x-deadline-ms: 300\r\n")
+        .request("/safe/a", "short", "x-deadline-ms: 300\r\n")
         .await;
-    let given: Vec<u64> = edge.backends[0]
+    let deadlines: Vec<u64> = edge.backends[0]
         .runs()
         .iter()
         .filter_map(|run| run.deadline_ms)
         .collect();
-    expect_that!(given, elements_are![le(&800), le(&300)]);
+    expect_that!(deadlines, elements_are![le(&800), le(&300)]);
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_gets_no_answer_is_given_up_at_its_time_out() {
-    let rules = Rules {
+async fn a_request_without_an_answer_is_cancelled_at_its_timeout() {
+    let settings = RouteSettings {
         timeout_ms: 200,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
-    let edge = Edge::start(rules, vec![(vec![], Behaviour::Silence)]).await;
-    let answer = edge.ask("/once/a", "r1").await;
+    let edge = Edge::start(settings, vec![(vec![], Behaviour::Silence)]).await;
+    let answer = edge.request("/once/a", "r1").await;
     expect_that!(answer.status, eq(504));
-    tokio::time::timeout(common::WITHIN, edge.backends[0].abandoned(1))
+    tokio::time::timeout(common::TEST_TIMEOUT, edge.backends[0].abandoned(1))
         .await
-        .expect("the back end is told to stop");
+        .expect("the request was not cancelled at the back end");
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_dead_back_end_costs_no_attempt() {
-    let rules = Rules {
+async fn a_refused_connection_costs_no_attempt() {
+    let settings = RouteSettings {
         max_attempts: 1,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
-    let edge = Edge::start(rules, vec![(vec![], GOOD)]).await;
-    // A port on which nobody listens.
+    let edge = Edge::start(settings, vec![(vec![], GOOD)]).await;
+    // A port on which nothing listens.
     let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let dead = port.local_addr().expect("an address");
     drop(port);
     edge.state
-        .adopt_instances(vec![news(7, dead, InstancePhase::Ready)]);
+        .adopt_instances(vec![instance_update(7, dead, InstancePhase::Ready)]);
     for number in 0..10 {
-        let answer = edge.ask("/once/a", &format!("r{number}")).await;
+        let answer = edge.request("/once/a", &format!("r{number}")).await;
         expect_that!(answer.status, eq(200));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_daemon_that_is_cut_off_sends_nothing_to_cold_back_ends() {
-    let edge = Edge::start(Rules::default(), vec![]).await;
+async fn a_daemon_without_control_sends_nothing_to_cold_back_ends() {
+    let edge = Edge::start(RouteSettings::default(), vec![]).await;
     let backend = ScriptedBackend::start(vec![], GOOD)
         .await
         .expect("a back end");
-    let mut cold = news(0, backend.address(), InstancePhase::Ready);
+    let mut cold = instance_update(0, backend.address(), InstancePhase::Ready);
     cold.cold_ms = 600_000;
     edge.state.adopt_instances(vec![cold]);
     for is_following in [false, true, false] {
         edge.state.set_following(is_following);
         let before = backend.arrivals();
         let answer = edge
-            .ask("/safe/a", &format!("{before}{is_following}"))
+            .request("/safe/a", &format!("{before}{is_following}"))
             .await;
         expect_that!(answer.status, eq(if is_following { 200 } else { 503 }));
         expect_that!(backend.arrivals() > before, eq(is_following));
     }
 }
 
-/// How often retries to the service were decided like this.
-fn retries_counted(edge: &Edge, verdict: &str) -> u64 {
+/// Number of retry decisions for the service with this label.
+fn counted_decisions(edge: &Edge, verdict: &str) -> u64 {
     let metrics = edge.exchange.metrics();
     let labels = ["s", verdict];
     let granted = metrics.service_retries.with_label_values(&labels);
@@ -320,18 +325,18 @@
 #[tokio::test]
 async fn each_decision_about_a_retry_is_counted_with_its_reason() {
     let scripts = || vec![(vec![], Behaviour::Lose), (vec![], Behaviour::Lose)];
-    let edge = Edge::start(Rules::default(), scripts()).await;
-    edge.ask("/safe/a", "r1").await;
-    expect_that!(retries_counted(&edge, "paid"), eq(1));
-    expect_that!(retries_counted(&edge, "attempts-spent"), eq(1));
-    edge.ask("/once/a", "r2").await;
-    expect_that!(retries_counted(&edge, "may-have-run"), eq(1));
-    let poor = Rules {
+    let edge = Edge::start(RouteSettings::default(), scripts()).await;
+    edge.request("/safe/a", "r1").await;
+    expect_that!(counted_decisions(&edge, "paid"), eq(1));
+    expect_that!(counted_decisions(&edge, "attempts-spent"), eq(1));
+    edge.request("/once/a", "r2").await;
+    expect_that!(counted_decisions(&edge, "may-have-run"), eq(1));
+    let poor = RouteSettings {
         retry_ratio: 0.0,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
     let edge = Edge::start(poor, scripts()).await;
-    edge.ask("/safe/a", "r3").await;
-    expect_that!(retries_counted(&edge, "paid"), eq(0));
-    expect_that!(retries_counted(&edge, "budget-spent"), eq(1));
+    edge.request("/safe/a", "r3").await;
+    expect_that!(counted_decisions(&edge, "paid"), eq(0));
+    expect_that!(counted_decisions(&edge, "budget-spent"), eq(1));
 }
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -1,12 +1,9 @@
-//! Back ends that ask for a back-off with a refusal, or say with an answer that they
-//! drain.
+//! Back ends that request a back-off with a refusal, or report in an answer that they are
+//! draining.
 //!
-//! Six of a service's twenty back ends refused everything for nine seconds, told that
-//! nothing runs or waits there, and asked each daemon for three seconds without requests.
-//! One got 20 requests of one daemon in that time. Nobody read the back-off, a refusal
-//! made the back end look idle, and the repeat of a request went to the same back end at
-//! once: arrivals at the six rose while every fourth request of the service was refused.
-//! The log showed a believed load of 0, 0 ms old, at each pick after a refusal.
+//! Guards against daemons that ignore the back-off. A back end that refuses everything and
+//! reports a load of 0 looks idle, so each retry goes to it again at once, and its share of
+//! the requests grows while it refuses them.
 #![allow(missing_docs)]
 
 mod common;
@@ -14,7 +11,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-use common::{Answer, Caller, Edge, Rules, news};
+use common::{Answer, Caller, Edge, RouteSettings, instance_update};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::Behaviour;
 use coursestand_model::BackendId;
@@ -33,53 +30,56 @@
 use tokio::sync::oneshot;
 
 const GOOD: Behaviour = Behaviour::Answer(200);
-/// Refuses as an idle back end would, and asks for two seconds without requests.
-const ASKING: Behaviour = Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 2\r\n");
-const ASKED: Duration = Duration::from_secs(2);
-/// Between two requests of a test.
+/// Refuses with a reported load of 0 and requests a back-off of two seconds.
+const REQUESTS_BACKOFF: Behaviour = Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 2\r\n");
+const BACKOFF: Duration = Duration::from_secs(2);
+/// Pause between two requests of a test.
 const PAUSE: Duration = Duration::from_millis(10);
-/// Far less than any time-out, far more than a refusal takes.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Upper bound for an immediate refusal, far below any time-out.
+const REFUSED_WITHIN: Duration = Duration::from_millis(200);
 
-fn seconds_of(answer: &Answer) -> Option<f64> {
+fn retry_after_seconds(answer: &Answer) -> Option<f64> {
     answer.header("retry-after")?.parse().ok()
 }
 
-/// Asks about an object of its own.
-async fn ask(edge: &Edge, path: &str, id: &str) -> Answer {
+/// Requests the object `id`, so that requests spread over the back ends.
+async fn request(edge: &Edge, path: &str, id: &str) -> Answer {
     let mut caller = Caller::connect(edge.server.address()).await;
-    caller.send_about(path, id, id).await;
+    caller.send_for_object(path, id, id).await;
     caller.receive().await
 }
 
-/// Asks until the back end has got a request, and returns when that was.
-async fn until_it_is_met(edge: &Edge, backend: usize) -> Instant {
+/// Sends requests until one reaches the back end, and returns that time.
+async fn request_until_arrival(edge: &Edge, backend: usize) -> Instant {
     let begin = Instant::now();
     for number in 0.. {
         if edge.backends[backend].arrivals() > 0 {
             break;
         }
-        assert!(begin.elapsed() < common::WITHIN, "no request meets it");
-        ask(edge, "/safe/a", &format!("before-{number}")).await;
+        assert!(
+            begin.elapsed() < common::TEST_TIMEOUT,
+            "no request reached the back end in time"
+        );
+        request(edge, "/safe/a", &format!("before-{number}")).await;
     }
     Instant::now()
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_asks_for_a_backoff_gets_nothing_until_its_end() {
-    for asking in [
-        ASKING,
+async fn a_back_end_gets_no_requests_during_its_backoff() {
+    for refusal in [
+        REQUESTS_BACKOFF,
         Behaviour::UnprovenRefusalWith("x-load: 0,0,4\r\nretry-after: 2\r\n"),
     ] {
-        let scripts = vec![(vec![], asking), (vec![], GOOD), (vec![], GOOD)];
-        let edge = Edge::start(Rules::default(), scripts).await;
-        let met = until_it_is_met(&edge, 0).await;
+        let scripts = vec![(vec![], refusal), (vec![], GOOD), (vec![], GOOD)];
+        let edge = Edge::start(RouteSettings::default(), scripts).await;
+        let arrived_at = request_until_arrival(&edge, 0).await;
         let before = edge.backends[0].arrivals();
         let mut number = 0;
-        while met.elapsed() < ASKED - AT_ONCE {
+        while arrived_at.elapsed() < BACKOFF - REFUSED_WITHIN {
             number += 1;
-            let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
+            let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
             expect_that!(answer.status, eq(200));
             tokio::time::sleep(PAUSE).await;
         }
@@ -89,56 +89,56 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_is_not_sent_again_to_a_back_end_that_asked_for_a_backoff() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], ASKING)]).await;
-    let answer = ask(&edge, "/once/a", "r1").await;
+async fn a_request_is_not_retried_at_a_back_end_in_backoff() {
+    let edge = Edge::start(RouteSettings::default(), vec![(vec![], REQUESTS_BACKOFF)]).await;
+    let answer = request(&edge, "/once/a", "r1").await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(1));
-    expect_that!(seconds_of(&answer), some(ge(1.9)));
+    expect_that!(retry_after_seconds(&answer), some(ge(1.9)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn with_all_back_ends_backing_off_requests_are_refused_at_once() {
+async fn with_all_back_ends_in_backoff_requests_are_refused_at_once() {
     let longer = Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 30\r\n");
-    let scripts = vec![(vec![], ASKING), (vec![], longer)];
-    let edge = Edge::start(Rules::default(), scripts).await;
+    let scripts = vec![(vec![], REQUESTS_BACKOFF), (vec![], longer)];
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
     for backend in [0, 1] {
-        until_it_is_met(&edge, backend).await;
+        request_until_arrival(&edge, backend).await;
     }
     let before = edge.arrivals();
     for number in 0..20 {
-        let asked = Instant::now();
-        let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
-        expect_that!(asked.elapsed(), le(AT_ONCE));
+        let started = Instant::now();
+        let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
+        expect_that!(started.elapsed(), le(REFUSED_WITHIN));
         expect_that!(answer.status, eq(503));
-        // The earliest end, and a little more so that not all come back at once.
-        expect_that!(seconds_of(&answer), some(all![gt(1.0), lt(4.0)]));
+        // The earliest end of a back-off, plus jitter so that callers don't return at once.
+        expect_that!(retry_after_seconds(&answer), some(all![gt(1.0), lt(4.0)]));
     }
     expect_that!(edge.arrivals(), eq(before));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_says_with_an_answer_that_it_drains_gets_nothing_more() {
-    let said = "x-draining: 1\r\n";
-    for saying in [
-        Behaviour::AnswerWith(200, said),
-        Behaviour::AnswerWith(500, said),
-        Behaviour::ShedWith(said),
-        Behaviour::UnprovenRefusalWith(said),
-        Behaviour::CutWith(said),
+async fn a_back_end_that_reports_draining_in_an_answer_gets_no_more_requests() {
+    let header = "x-draining: 1\r\n";
+    for behaviour in [
+        Behaviour::AnswerWith(200, header),
+        Behaviour::AnswerWith(500, header),
+        Behaviour::ShedWith(header),
+        Behaviour::UnprovenRefusalWith(header),
+        Behaviour::CutWith(header),
     ] {
-        let scripts = vec![(vec![], saying), (vec![], GOOD)];
-        let edge = Edge::start(Rules::default(), scripts).await;
-        until_it_is_met(&edge, 0).await;
+        let scripts = vec![(vec![], behaviour), (vec![], GOOD)];
+        let edge = Edge::start(RouteSettings::default(), scripts).await;
+        request_until_arrival(&edge, 0).await;
         let before = edge.backends[0].arrivals();
-        // What discovery still tells of it changes nothing.
-        let mut ready = news(0, edge.backends[0].address(), InstancePhase::Ready);
+        // A later update of discovery that it is ready has no effect.
+        let mut ready = instance_update(0, edge.backends[0].address(), InstancePhase::Ready);
         ready.instance.sequence = 100;
         edge.state.adopt_instances(vec![ready]);
         for number in 0..20 {
-            let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
+            let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
             expect_that!(answer.status, eq(200));
         }
         expect_that!(edge.backends[0].arrivals(), eq(before));
@@ -147,28 +147,28 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_serves_again_once_its_backoff_has_ended() {
-    let asking = Behaviour::ShedWith("retry-after: 0.3\r\n");
-    let scripts = vec![(vec![asking], GOOD)];
-    let edge = Edge::start(Rules::default(), scripts).await;
-    ask(&edge, "/safe/a", "first").await;
+async fn a_back_end_gets_requests_again_after_its_backoff() {
+    let refusal = Behaviour::ShedWith("retry-after: 0.3\r\n");
+    let scripts = vec![(vec![refusal], GOOD)];
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
+    request(&edge, "/safe/a", "first").await;
     tokio::time::sleep(Duration::from_millis(350)).await;
     for number in 0..10 {
-        let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
+        let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
         expect_that!(answer.status, eq(200));
     }
 }
 
-/// What happens once a back end was chosen and before the request is written to it.
-type Meanwhile = Box<dyn Fn(&Router, &Target) + Send + Sync>;
+/// Runs after a back end was chosen and before the request is sent to it.
+type AfterChoice = Box<dyn Fn(&Router, &Target) + Send + Sync>;
 
-/// The phases where something happens just after a back end was chosen.
-struct Overtaken {
+/// Request phases that run a hook right after a back end was chosen.
+struct HookedPhases {
     router: Router,
-    meanwhile: Meanwhile,
+    after_choice: AfterChoice,
 }
 
-impl RequestPhases for Overtaken {
+impl RequestPhases for HookedPhases {
     fn match_request(&self, head: &RequestHead) -> std::result::Result<Matched, Reason> {
         self.router.match_request(head)
     }
@@ -184,7 +184,7 @@
         attempts: &Attempts,
     ) -> std::result::Result<Target, Reason> {
         let target = self.router.choose(matched, attempts)?;
-        (self.meanwhile)(&self.router, &target);
+        (self.after_choice)(&self.router, &target);
         Ok(target)
     }
     fn may_still_send(&self, target: &Target) -> bool {
@@ -199,8 +199,8 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport) {
         self.router.failed(target, failure, report);
     }
-    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>) {
-        self.router.crashed(target, witnesses);
+    fn crashed(&self, target: &Target, in_flight_requests: Vec<Fingerprint>) {
+        self.router.crashed(target, in_flight_requests);
     }
     fn finished(&self, target: &Target, ending: AttemptEnding) {
         self.router.finished(target, ending);
@@ -216,57 +216,61 @@
     }
 }
 
-/// Two back ends, of which each is overtaken once it was chosen.
-async fn overtaken(meanwhile: Meanwhile) -> (Edge, Answer) {
+/// Sends a request to two back ends; the hook runs after each choice.
+async fn request_with_hook(after_choice: AfterChoice) -> (Edge, Answer) {
     let scripts = vec![(vec![], GOOD), (vec![], GOOD)];
-    let edge = Edge::start_with(Rules::default(), scripts, |state| {
-        Arc::new(Overtaken {
+    let edge = Edge::start_with(RouteSettings::default(), scripts, |state| {
+        Arc::new(HookedPhases {
             router: Router::new(state),
-            meanwhile,
+            after_choice,
         })
     })
     .await;
-    let answer = edge.ask("/once/a", "r1").await;
+    let answer = edge.request("/once/a", "r1").await;
     (edge, answer)
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_sent_once_a_backoff_begins() {
-    let asking = BackendReport {
-        backoff_ms: Some(ASKED.as_millis() as u64),
+    let report = BackendReport {
+        backoff_ms: Some(BACKOFF.as_millis() as u64),
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &asking);
-    let (edge, answer) = overtaken(Box::new(meanwhile)).await;
+    let after_choice =
+        move |router: &Router, target: &Target| router.head_received(target, &report);
+    let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
-    expect_that!(seconds_of(&answer), some(ge(1.9)));
+    expect_that!(retry_after_seconds(&answer), some(ge(1.9)));
     expect_that!(edge.arrivals(), eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_waits_for_a_connection_is_not_sent_once_its_back_end_drains() {
-    let draining = BackendReport {
+async fn a_request_that_waits_for_a_connection_is_not_sent_once_its_back_end_is_draining() {
+    let report = BackendReport {
         is_draining: true,
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &draining);
-    let (edge, answer) = overtaken(Box::new(meanwhile)).await;
+    let after_choice =
+        move |router: &Router, target: &Target| router.head_received(target, &report);
+    let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(0));
 }
 
-/// Guards against requests that were chosen before a rate limit was named and sent after.
+/// Guards against sending a request whose back end was chosen before it reported a rate
+/// limit.
 #[gtest]
 #[tokio::test]
-async fn a_request_that_waits_for_a_connection_is_not_sent_once_a_rate_limit_is_named() {
-    let naming = BackendReport {
+async fn a_request_that_waits_for_a_connection_is_not_sent_once_a_rate_limit_is_reported() {
+    let report = BackendReport {
         rate: RateLimitSignal::Limited(Rate::per_second(0.2)),
         ..BackendReport::default()
     };
-    let meanwhile = move |router: &Router, target: &Target| router.head_received(target, &naming);
-    let (edge, answer) = overtaken(Box::new(meanwhile)).await;
+    let after_choice =
+        move |router: &Router, target: &Target| router.head_received(target, &report);
+    let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(0));
 }
@@ -276,11 +280,11 @@
 async fn a_request_that_waits_for_a_connection_is_not_sent_into_an_evacuated_zone() {
     let shared: Arc<OnceLock<Arc<EdgeState>>> = Arc::default();
     let scripts = vec![(vec![], GOOD), (vec![], GOOD)];
-    let edge = Edge::start_with(Rules::default(), scripts, |state| {
+    let edge = Edge::start_with(RouteSettings::default(), scripts, |state| {
         let shared = Arc::clone(&shared);
-        Arc::new(Overtaken {
+        Arc::new(HookedPhases {
             router: Router::new(state),
-            meanwhile: Box::new(move |_, target| {
+            after_choice: Box::new(move |_, target| {
                 let state = shared.get().expect("set before the first request");
                 let mut routing = state.routing();
                 routing.catalog.set_evacuation(&target.zone, true, 100);
@@ -289,35 +293,39 @@
     })
     .await;
     assert!(shared.set(Arc::clone(&edge.state)).is_ok());
-    let answer = edge.ask("/once/a", "r1").await;
+    let answer = edge.request("/once/a", "r1").await;
     expect_that!(answer.status, eq(503));
     expect_that!(edge.arrivals(), eq(0));
 }
 
-/// A back end that can't reach control says only with its answers that it drains. One
-/// daemon's word binds no other one, two daemons' words do.
+/// A back end that can't reach control reports only in its answers that it is draining. A
+/// daemon applies this once two other daemons have reported it, not after one.
 #[gtest]
 #[tokio::test]
-async fn what_two_other_daemons_heard_of_draining_binds_and_one_word_does_not() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], GOOD), (vec![], GOOD)]).await;
+async fn draining_applies_when_two_other_daemons_report_it_but_not_one() {
+    let edge = Edge::start(
+        RouteSettings::default(),
+        vec![(vec![], GOOD), (vec![], GOOD)],
+    )
+    .await;
     let backend = {
         let routing = edge.state.routing();
         let known = routing.backends.get(&BackendId::from("i-0"));
         known.expect("known").incarnation_hash
     };
-    let says = |number, reporter| SharedFinding {
+    let report = |number, reporter| SharedFinding {
         number,
         reporter,
         finding: Finding::Drains { backend },
     };
     for number in 0..3 {
-        edge.state.adopt_finding(&says(number, 1));
+        edge.state.adopt_finding(&report(number, 1));
     }
-    until_it_is_met(&edge, 0).await;
-    edge.state.adopt_finding(&says(3, 2));
+    request_until_arrival(&edge, 0).await;
+    edge.state.adopt_finding(&report(3, 2));
     let before = edge.backends[0].arrivals();
     for number in 0..20 {
-        let answer = ask(&edge, "/safe/a", &format!("r{number}")).await;
+        let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
         expect_that!(answer.status, eq(200));
     }
     expect_that!(edge.backends[0].arrivals(), eq(before));
--- a/crates/coursestand-proxy/tests/callers_that_leave.rs
+++ b/crates/coursestand-proxy/tests/callers_that_leave.rs
@@ -1,7 +1,6 @@
-//! A caller that closes its connection before its answer: its request reaches no back
-//! end from then on, and a back end that works on it is told to stop within half a
-//! second, wherever the request is: not read yet, on its way to a back end, there, or
-//! being sent again.
+//! When a caller disconnects before its answer, its request is sent to no further back end,
+//! and a back end that runs it is cancelled within half a second, whether the request is
+//! unread, waiting for a connection, in flight or being retried.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{Caller, Edge, Rules, news};
+use common::{Caller, Edge, RouteSettings, instance_update};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 use coursestand_proxy::HeaderNames;
@@ -19,17 +18,17 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const GOOD: Behaviour = Behaviour::Answer(200);
-/// Time within which nobody works for a caller that left.
-const BROKEN_OFF: Duration = Duration::from_millis(500);
+/// Time within which the request of a disconnected caller must be cancelled.
+const CANCELLED_WITHIN: Duration = Duration::from_millis(500);
 const LONG: Behaviour = Behaviour::Slow(Duration::from_secs(3));
 
 async fn pause(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Sends a request and closes the connection, while the daemon, whose runtime is this
-/// test's, stands still.
-fn ask_and_leave(address: SocketAddr, path: &str, id: &str) {
+/// Sends a request and closes the connection before the daemon, which shares this test's
+/// single-threaded runtime, can read it.
+fn request_and_disconnect(address: SocketAddr, path: &str, id: &str) {
     let names = HeaderNames::default();
     let mut stream = std::net::TcpStream::connect(address).expect("connected");
     let head = format!(
@@ -41,16 +40,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_that_left_before_it_was_read_is_not_served() {
-    // With no connection to the back end, and with one that is kept.
+async fn a_request_whose_caller_disconnected_before_it_was_read_is_not_sent() {
+    // Without and with a pooled connection to the back end.
     for is_warm in [false, true] {
-        let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
+        let edge = Edge::start(RouteSettings::default(), vec![(vec![], GOOD)]).await;
         if is_warm {
-            edge.ask("/safe/a", "warm").await;
+            edge.request("/safe/a", "warm").await;
             pause(50).await;
         }
         for number in 0..20 {
-            ask_and_leave(edge.server.address(), "/safe/a", &format!("r{number}"));
+            request_and_disconnect(edge.server.address(), "/safe/a", &format!("r{number}"));
         }
         pause(300).await;
         expect_that!(edge.arrivals(), eq(usize::from(is_warm)));
@@ -59,55 +58,56 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_at_work_is_told_to_stop() {
+async fn a_request_in_flight_is_cancelled_at_its_back_end() {
     for path in ["/safe/a", "/once/a"] {
-        let edge = Edge::start(Rules::default(), vec![(vec![GOOD], LONG)]).await;
+        let edge = Edge::start(RouteSettings::default(), vec![(vec![GOOD], LONG)]).await;
         let mut caller = Caller::connect(edge.server.address()).await;
-        caller.ask(path, "warm", "").await;
+        caller.request(path, "warm", "").await;
         caller.send(path, "left", "", b"a body").await;
         while edge.arrivals() < 2 {
             pause(5).await;
         }
         drop(caller);
-        let stopped = tokio::time::timeout(BROKEN_OFF, edge.backends[0].abandoned(1)).await;
+        let stopped = tokio::time::timeout(CANCELLED_WITHIN, edge.backends[0].abandoned(1)).await;
         expect_that!(stopped, ok(anything()), "{path}");
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_is_being_repeated_goes_no_further() {
-    // Refused by the first, it is at the second when its caller leaves; no third gets it.
+async fn a_retried_request_is_not_sent_to_a_further_back_end() {
+    // After a failure at the first back end, the request is in flight at the second when its
+    // caller disconnects; no third back end may get it.
     let scripts = (0..3).map(|_| (vec![], LONG)).collect();
-    let rules = Rules {
+    let settings = RouteSettings {
         max_attempts: 4,
-        ..Rules::default()
+        ..RouteSettings::default()
     };
-    let edge = Edge::start(rules, scripts).await;
-    let first = ScriptedBackend::start(vec![], Behaviour::Lose)
+    let edge = Edge::start(settings, scripts).await;
+    let failing = ScriptedBackend::start(vec![], Behaviour::Lose)
         .await
         .expect("a back end");
     for number in 3..9 {
-        let ready = news(number, first.address(), InstancePhase::Ready);
+        let ready = instance_update(number, failing.address(), InstancePhase::Ready);
         edge.state.adopt_instances(vec![ready]);
     }
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "left", "", b"").await;
-    while edge.arrivals() + first.arrivals() == 0 || edge.arrivals() == 0 {
+    while edge.arrivals() + failing.arrivals() == 0 || edge.arrivals() == 0 {
         pause(5).await;
     }
     drop(caller);
-    let all = || edge.arrivals() + first.arrivals();
-    let before = all();
-    pause(BROKEN_OFF.as_millis() as u64).await;
-    expect_that!(all(), eq(before));
+    let all_arrivals = || edge.arrivals() + failing.arrivals();
+    let before = all_arrivals();
+    pause(CANCELLED_WITHIN.as_millis() as u64).await;
+    expect_that!(all_arrivals(), eq(before));
     let stopped = edge.backends.iter().map(|backend| backend.abandoned(1));
     let any = futures::future::select_all(stopped.map(Box::pin));
     let stopped = tokio::time::timeout(Duration::from_millis(1), any).await;
     expect_that!(stopped.is_ok(), eq(true));
 }
 
-/// A listener whose queue of new connections is full, so that further ones hang.
+/// Returns a listener whose accept queue is full, so that further connections hang.
 async fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -127,22 +127,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_connection_that_is_being_made_is_given_up_and_no_other_is_made() {
+async fn a_pending_connection_is_abandoned_and_no_other_is_opened() {
     let (listener, _fillers) = full_listener().await;
-    let edge = Edge::start(Rules::default(), vec![(vec![], LONG)]).await;
+    let edge = Edge::start(RouteSettings::default(), vec![(vec![], LONG)]).await;
     let address = listener.local_addr().expect("an address");
     edge.state
-        .adopt_instances(vec![news(1, address, InstancePhase::Ready)]);
+        .adopt_instances(vec![instance_update(1, address, InstancePhase::Ready)]);
     let mut callers = Vec::new();
     for number in 0..6 {
         let mut caller = Caller::connect(edge.server.address()).await;
         let id = format!("left{number}");
-        caller.send_about("/safe/a", &id, &id).await;
+        caller.send_for_object("/safe/a", &id, &id).await;
         callers.push(caller);
     }
     pause(200).await;
     let before = edge.arrivals();
-    // Some wait for a connection still; after its time-out they would go to the other.
+    // The others wait for a connection to the full listener; after the connect time-out they
+    // would go to the other back end.
     expect_that!(before, lt(6));
     drop(callers);
     pause(1_500).await;
@@ -152,10 +153,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_that_leaves_within_its_body_takes_it_back() {
-    // One that is held, and one that is passed on as it comes.
+async fn a_request_whose_caller_disconnects_within_the_body_is_not_run() {
+    // A body that is buffered, and one that is streamed.
     for (length, sent) in [(20_000, 10_000), (3_000_000, 1_500_000)] {
-        let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
+        let edge = Edge::start(RouteSettings::default(), vec![(vec![], GOOD)]).await;
         let mut stream = TcpStream::connect(edge.server.address())
             .await
             .expect("connected");
@@ -180,8 +181,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_long_answer_on_its_way_is_broken_off() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], Behaviour::Trickle)]).await;
+async fn a_streamed_answer_is_cancelled() {
+    let edge = Edge::start(RouteSettings::default(), vec![(vec![], Behaviour::Trickle)]).await;
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "left", "", b"").await;
     while edge.arrivals() == 0 {
@@ -189,6 +190,6 @@
     }
     pause(100).await;
     drop(caller);
-    let stopped = tokio::time::timeout(BROKEN_OFF, edge.backends[0].abandoned(1)).await;
+    let stopped = tokio::time::timeout(CANCELLED_WITHIN, edge.backends[0].abandoned(1)).await;
     expect_that!(stopped, ok(anything()));
 }
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An entry daemon's request path in front of scripted back ends, and a caller on
-//! a raw socket.
+//! An entry daemon's request path in front of scripted back ends, and a caller that
+//! speaks HTTP over a raw socket.
 #![allow(dead_code, missing_docs)]
 
 pub mod narrow_link;
@@ -30,12 +30,12 @@
 use tokio::net::TcpStream;
 
 pub const MAX_BODY: u64 = items::MAX_BODY_BYTES;
-/// Statuses that promise that a request was not run.
-pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Generous: nothing here should come near it.
-pub const WITHIN: Duration = Duration::from_secs(20);
-/// Far below the time-out of connections that rest.
-const SOON: Duration = Duration::from_secs(8);
+/// Statuses that guarantee that a request was not run.
+pub const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Longer than any step of a test should take.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Far below the time-out of idle connections.
+const LATE_CALLER_TIMEOUT: Duration = Duration::from_secs(8);
 
 pub struct Edge {
     pub state: Arc<EdgeState>,
@@ -44,33 +44,33 @@
     pub backends: Vec<ScriptedBackend>,
 }
 
-/// Routes `/safe/` and `/once/` to one service, with these attempts and time-out.
+/// Settings of the routes `/safe/` and `/once/`, which lead to one service.
 #[derive(Clone, Copy)]
-pub struct Rules {
+pub struct RouteSettings {
     pub max_attempts: u32,
     pub timeout_ms: u64,
-    pub objective_ms: u64,
-    /// Retries that the bound allows for each request; half of them are earned.
+    pub target_latency_ms: u64,
+    /// Retries that the bound allows per request; requests earn half of them.
     pub retry_ratio: f64,
 }
 
-impl Default for Rules {
+impl Default for RouteSettings {
     fn default() -> Self {
-        Rules {
+        RouteSettings {
             max_attempts: 2,
             timeout_ms: 5_000,
-            objective_ms: 100,
+            target_latency_ms: 100,
             retry_ratio: 4.0,
         }
     }
 }
 
-pub fn catalog(rules: Rules) -> Catalog {
+pub fn catalog(settings: RouteSettings) -> Catalog {
     let route = |name: &str, kind| {
         let route = Route {
-            max_attempts: rules.max_attempts,
-            target_latency_ms: rules.objective_ms,
-            ..items::route(name, "s", kind, rules.timeout_ms)
+            max_attempts: settings.max_attempts,
+            target_latency_ms: settings.target_latency_ms,
+            ..items::route(name, "s", kind, settings.timeout_ms)
         };
         items::route_item(name, 1, route)
     };
@@ -88,7 +88,7 @@
     catalog
 }
 
-pub fn news(number: usize, address: SocketAddr, phase: InstancePhase) -> InstanceNews {
+pub fn instance_update(number: usize, address: SocketAddr, phase: InstancePhase) -> InstanceNews {
     InstanceNews {
         instance: Instance {
             id: BackendId(format!("i-{number}")),
@@ -105,8 +105,8 @@
     }
 }
 
-pub fn empty_state(rules: Rules) -> Arc<EdgeState> {
-    let place = PickerConfig {
+pub fn empty_state(settings: RouteSettings) -> Arc<EdgeState> {
+    let config = PickerConfig {
         daemon: "edge-1".to_owned(),
         region: RegionId::from("r"),
         zones: BTreeMap::from([(ZoneId::from("z"), RegionId::from("r"))]),
@@ -124,20 +124,20 @@
     };
     let bounds = EdgeBounds {
         retries: RetryLimits {
-            ratio: rules.retry_ratio,
+            ratio: settings.retry_ratio,
             extra: 0.0,
             window_ms: 10_000,
         },
         settle_ms: 1_000,
         hand_over_ms: 0,
     };
-    let state = EdgeState::new(MonotonicClock::default(), place, bounds);
-    // As after its first moments, whether it is connected with control now or not.
+    let state = EdgeState::new(MonotonicClock::default(), config, bounds);
+    // The state after the first synchronization, whether or not control is connected.
     state.routing().is_synced = true;
     Arc::new(state)
 }
 
-pub async fn server_of(phases: Arc<dyn RequestPhases>) -> (Arc<Exchange>, Arc<ProxyServer>) {
+pub async fn start_server(phases: Arc<dyn RequestPhases>) -> (Arc<Exchange>, Arc<ProxyServer>) {
     let metrics = ProxyMetrics::new(&prometheus::Registry::new()).expect("metrics");
     let pool = Arc::new(Pool::default());
     let exchange = Arc::new(Exchange::new(phases, HeaderNames::default(), pool, metrics));
@@ -151,27 +151,31 @@
 }
 
 impl Edge {
-    /// One back end for each script; after its script each does its last word.
-    pub async fn start(rules: Rules, scripts: Vec<(Vec<Behaviour>, Behaviour)>) -> Edge {
-        Edge::start_with(rules, scripts, |state| Arc::new(Router::new(state))).await
+    /// Starts one back end per pair of a script and the behaviour that follows the script.
+    pub async fn start(settings: RouteSettings, scripts: Vec<(Vec<Behaviour>, Behaviour)>) -> Edge {
+        Edge::start_with(settings, scripts, |state| Arc::new(Router::new(state))).await
     }
 
     pub async fn start_with(
-        rules: Rules,
+        settings: RouteSettings,
         scripts: Vec<(Vec<Behaviour>, Behaviour)>,
         phases: impl FnOnce(Arc<EdgeState>) -> Arc<dyn RequestPhases>,
     ) -> Edge {
-        let state = empty_state(rules);
-        state.adopt_catalog(catalog(rules).delta(0));
+        let state = empty_state(settings);
+        state.adopt_catalog(catalog(settings).delta(0));
         let mut backends = Vec::new();
         for (number, (script, otherwise)) in scripts.into_iter().enumerate() {
             let backend = ScriptedBackend::start(script, otherwise)
                 .await
                 .expect("a back end");
-            state.adopt_instances(vec![news(number, backend.address(), InstancePhase::Ready)]);
+            state.adopt_instances(vec![instance_update(
+                number,
+                backend.address(),
+                InstancePhase::Ready,
+            )]);
             backends.push(backend);
         }
-        let (exchange, server) = server_of(phases(Arc::clone(&state))).await;
+        let (exchange, server) = start_server(phases(Arc::clone(&state))).await;
         Edge {
             state,
             exchange,
@@ -192,21 +196,21 @@
         self.backends.iter().map(ScriptedBackend::arrivals).sum()
     }
 
-    pub async fn ask(&self, path: &str, id: &str) -> Answer {
+    pub async fn request(&self, path: &str, id: &str) -> Answer {
         let mut caller = Caller::connect(self.server.address()).await;
-        caller.ask(path, id, "").await
+        caller.request(path, id, "").await
     }
 }
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     /// 0 when the connection ended without an answer.
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether all bytes of the length that was told came.
-    pub is_whole: bool,
+    /// Whether all bytes of the stated `content-length` arrived.
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -226,10 +230,10 @@
 
 impl Caller {
     pub async fn connect(address: SocketAddr) -> Caller {
-        Caller::of(TcpStream::connect(address).await.expect("connected"))
+        Caller::from_stream(TcpStream::connect(address).await.expect("connected"))
     }
 
-    pub fn of(stream: TcpStream) -> Caller {
+    pub fn from_stream(stream: TcpStream) -> Caller {
         Caller {
             stream,
             unread: Vec::new(),
@@ -237,15 +241,15 @@
     }
 
     pub async fn send(&mut self, path: &str, id: &str, headers: &str, body: &[u8]) {
-        self.send_keyed(path, id, "k", headers, body).await;
+        self.send_with_key(path, id, "k", headers, body).await;
     }
 
-    /// Asks about the object `key`.
-    pub async fn send_about(&mut self, path: &str, id: &str, key: &str) {
-        self.send_keyed(path, id, key, "", b"a body").await;
+    /// Sends a request for the object `key`.
+    pub async fn send_for_object(&mut self, path: &str, id: &str, key: &str) {
+        self.send_with_key(path, id, key, "", b"a body").await;
     }
 
-    pub async fn send_keyed(
+    pub async fn send_with_key(
         &mut self,
         path: &str,
         id: &str,
@@ -272,22 +276,22 @@
         let _ = self.stream.write_all(body).await;
     }
 
-    /// Sends the first `part` bytes of a body of `length`.
-    pub async fn send_part(&mut self, path: &str, id: &str, length: usize, part: usize) {
+    /// Sends the head and the first `part` bytes of a body of `length` bytes.
+    pub async fn send_partial_body(&mut self, path: &str, id: &str, length: usize, part: usize) {
         let head = format!(
             "POST {path} HTTP/1.1\r\nhost: h.example\r\n{}: {id}\r\ncontent-length: {length}\r\n\r\n",
             HeaderNames::default().request_id
         );
         let _ = self.stream.write_all(head.as_bytes()).await;
-        self.send_rest(part).await;
+        self.send_more_body(part).await;
     }
 
-    /// Sends so many more bytes of a body. Returns whether the daemon took them.
-    pub async fn send_rest(&mut self, count: usize) -> bool {
+    /// Sends `count` more bytes of a body. Returns whether the write succeeded.
+    pub async fn send_more_body(&mut self, count: usize) -> bool {
         self.stream.write_all(&vec![b'x'; count]).await.is_ok()
     }
 
-    /// Sends a body in chunks, without telling its length before.
+    /// Sends a body with chunked transfer coding, so that its length is unknown in advance.
     pub async fn send_chunked(&mut self, path: &str, id: &str, body: &[u8]) {
         let names = HeaderNames::default();
         let head = format!(
@@ -305,15 +309,15 @@
         let _ = self.stream.write_all(b"0\r\n\r\n").await;
     }
 
-    pub async fn ask(&mut self, path: &str, id: &str, headers: &str) -> Answer {
+    pub async fn request(&mut self, path: &str, id: &str, headers: &str) -> Answer {
         self.send(path, id, headers, b"a body").await;
         self.receive().await
     }
 
     pub async fn receive(&mut self) -> Answer {
-        tokio::time::timeout(WITHIN, self.read_answer())
+        tokio::time::timeout(TEST_TIMEOUT, self.read_answer())
             .await
-            .expect("an answer or an end in time")
+            .expect("no answer and no end of the connection within the time-out")
     }
 
     async fn read_more(&mut self) -> bool {
@@ -351,22 +355,23 @@
         let got = length.min(self.unread.len());
         let body: Vec<u8> = self.unread.drain(..got).collect();
         answer.body = String::from_utf8_lossy(&body).into_owned();
-        answer.is_whole = got == length;
+        answer.is_complete = got == length;
         answer
     }
 }
 
-/// Callers that are connected before the server, which runs on this thread, sees any.
-pub fn pile_up(address: SocketAddr, count: usize) -> Vec<std::net::TcpStream> {
+/// Connects `count` callers before the server, which runs on this thread, accepts any.
+pub fn connect_many(address: SocketAddr, count: usize) -> Vec<std::net::TcpStream> {
     let connect = |_| std::net::TcpStream::connect(address).expect("connected");
     (0..count).map(connect).collect()
 }
 
-/// The status that a caller gets which was connected before, if it gets one soon.
-pub async fn asks(stream: std::net::TcpStream) -> Option<u16> {
+/// Sends a request over a connection that is already open. Returns the status of its
+/// answer, or `None` if there is none within `LATE_CALLER_TIMEOUT`.
+pub async fn request_status(stream: std::net::TcpStream) -> Option<u16> {
     stream.set_nonblocking(true).expect("set");
-    let mut caller = Caller::of(TcpStream::from_std(stream).expect("a stream"));
-    let asked = caller.ask("/safe/a", "late", "");
-    let answer = tokio::time::timeout(SOON, asked).await;
+    let mut caller = Caller::from_stream(TcpStream::from_std(stream).expect("a stream"));
+    let exchange = caller.request("/safe/a", "late", "");
+    let answer = tokio::time::timeout(LATE_CALLER_TIMEOUT, exchange).await;
     answer.ok().map(|answer| answer.status)
 }
--- a/crates/coursestand-proxy/tests/common/narrow_link.rs
+++ b/crates/coursestand-proxy/tests/common/narrow_link.rs
@@ -1,5 +1,4 @@
-//! The link of an emulated machine: what passes it in one direction shares one queue,
-//! whatever connection it is on.
+//! The emulated network link of a machine: all connections share one queue per direction.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,8 +9,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes that one read takes: about a segment.
-const SEGMENT: usize = 1_400;
+/// Upper bound of a read, about one TCP segment.
+const SEGMENT_BYTES: usize = 1_400;
 
 /// One direction of the link.
 pub struct Direction {
@@ -27,19 +26,19 @@
         }
     }
 
-    /// Returns once so many bytes, and all that came before them, have passed.
+    /// Waits until these bytes, and all that were queued before them, have passed.
     async fn pass(&self, bytes: usize) {
         let passed_at = {
             let mut free_at = self.free_at.lock().expect("not poisoned");
-            let took = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
-            *free_at = (*free_at).max(Instant::now()) + took;
+            let transmission_time = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
+            *free_at = (*free_at).max(Instant::now()) + transmission_time;
             *free_at
         };
         sleep_until(passed_at).await;
     }
 }
 
-/// The link of a machine.
+/// The network link of a machine.
 #[derive(Clone)]
 pub struct NarrowLink {
     inbound: Arc<Direction>,
@@ -47,7 +46,7 @@
 }
 
 impl NarrowLink {
-    /// A link that carries so many bytes a second in each direction.
+    /// Creates a link with this rate in each direction.
     pub fn new(bytes_per_second: f64) -> NarrowLink {
         NarrowLink {
             inbound: Arc::new(Direction::new(bytes_per_second)),
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Where callers reach the machine's server at `server` through the link.
+    /// Returns the address at which callers reach the machine's server through the link.
     pub async fn in_front_of(&self, server: SocketAddr) -> SocketAddr {
         relay(
             server,
@@ -65,13 +64,13 @@
         .await
     }
 
-    /// Where the machine reaches `peer` through the link.
+    /// Returns the address at which the machine reaches `peer` through the link.
     pub async fn behind(&self, peer: SocketAddr) -> SocketAddr {
         relay(peer, Arc::clone(&self.outbound), Arc::clone(&self.inbound)).await
     }
 }
 
-async fn relay(to: SocketAddr, there: Arc<Direction>, back: Arc<Direction>) -> SocketAddr {
+async fn relay(to: SocketAddr, forward: Arc<Direction>, backward: Arc<Direction>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -81,15 +80,15 @@
             };
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
-            tokio::spawn(carry(near_read, far_write, Arc::clone(&there)));
-            tokio::spawn(carry(far_read, near_write, Arc::clone(&back)));
+            tokio::spawn(copy_through(near_read, far_write, Arc::clone(&forward)));
+            tokio::spawn(copy_through(far_read, near_write, Arc::clone(&backward)));
         }
     });
     address
 }
 
-async fn carry(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Arc<Direction>) {
-    let mut segment = [0; SEGMENT];
+async fn copy_through(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Arc<Direction>) {
+    let mut segment = [0; SEGMENT_BYTES];
     while let Ok(count) = from.read(&mut segment).await {
         if count == 0 {
             break;
@@ -99,6 +98,6 @@
             break;
         }
     }
-    // The peer may be gone already.
+    // The peer may have closed the connection already.
     let _ = to.shutdown().await;
 }
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Requests to back ends that name a rate limit, from one daemon beside a control process
-//! that a test plays.
+//! Requests of one daemon to back ends that report a rate limit; the test stands in for the
+//! control process that issues tokens.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Answer, Caller, Edge, Rules};
+use common::{Answer, Caller, Edge, RouteSettings};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::Behaviour;
 use coursestand_proxy::EdgeState;
@@ -19,28 +19,28 @@
 use tokio::task::JoinHandle;
 
 const LIMITED: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 5\r\n");
-const NAMES_LITTLE: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 0.2\r\n");
+const LOW_LIMIT: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 0.2\r\n");
 const GOOD: Behaviour = Behaviour::Answer(200);
-/// Far less than any time-out.
-const AT_ONCE: Duration = Duration::from_millis(300);
+/// Upper bound for an immediate refusal, far below any time-out.
+const REFUSED_WITHIN: Duration = Duration::from_millis(300);
 
 fn control() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// Answers requests for tokens as a control process that leads. Returns how many it got.
+/// Answers requests for tokens as the leading control process does.
 fn issue_tokens(state: &Arc<EdgeState>) -> JoinHandle<()> {
     state.set_following(true);
-    let mut notes = state.rate_limit_messages();
+    let mut messages = state.rate_limit_messages();
     let state = Arc::clone(state);
     let mut issuer = TokenIssuer::default();
     tokio::spawn(async move {
-        while let Ok(note) = notes.recv().await {
+        while let Ok(message) = messages.recv().await {
             let now = state.now();
-            match note {
-                RateLimitMessage::Update(news) => {
-                    let named_at = now.saturating_sub(news.age_ms);
-                    issuer.apply_update(now, news.backend, news.rate, named_at);
+            match message {
+                RateLimitMessage::Update(update) => {
+                    let reported_at = now.saturating_sub(update.age_ms);
+                    issuer.apply_update(now, update.backend, update.rate, reported_at);
                 }
                 RateLimitMessage::Token {
                     number, request, ..
@@ -53,34 +53,34 @@
     })
 }
 
-async fn ask(edge: &Edge, id: &str) -> Answer {
+async fn request(edge: &Edge, id: &str) -> Answer {
     let mut caller = Caller::connect(edge.server.address()).await;
-    caller.send_about("/safe/a", id, id).await;
+    caller.send_for_object("/safe/a", id, id).await;
     caller.receive().await
 }
 
-/// Asks about an object each time, every 10 ms.
-async fn ask_for(edge: &Edge, name: &str, time: Duration) -> Vec<Answer> {
+/// Sends a request for another object every 10 ms.
+async fn request_for(edge: &Edge, name: &str, time: Duration) -> Vec<Answer> {
     let begin = Instant::now();
     let mut answers = Vec::new();
     while begin.elapsed() < time {
-        answers.push(ask(edge, &format!("{name}-{}", answers.len())).await);
+        answers.push(request(edge, &format!("{name}-{}", answers.len())).await);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     answers
 }
 
-/// Guards against a limit that costs callers their answers: what one back end can't take goes
-/// to the next of the key.
+/// Guards against failed requests at the limit: what one back end can't take goes to the
+/// next one in the preference order of the key.
 #[gtest]
 #[tokio::test]
-async fn what_a_limited_back_end_cannot_take_goes_to_others() {
+async fn requests_above_the_limit_of_a_back_end_go_to_others() {
     let scripts = vec![(vec![], LIMITED), (vec![], GOOD), (vec![], GOOD)];
-    let edge = Edge::start(Rules::default(), scripts).await;
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
     let control = issue_tokens(&edge.state);
-    ask_for(&edge, "before", Duration::from_millis(200)).await;
+    request_for(&edge, "before", Duration::from_millis(200)).await;
     let before = edge.backends[0].arrivals();
-    let answers = ask_for(&edge, "after", Duration::from_secs(3)).await;
+    let answers = request_for(&edge, "after", Duration::from_secs(3)).await;
     let arrived = edge.backends[0].arrivals() - before;
     expect_that!(arrived, all![ge(10), le(17)]);
     expect_that!(answers.iter().all(|answer| answer.status == 200), eq(true));
@@ -91,13 +91,13 @@
 #[gtest]
 #[tokio::test]
 async fn with_all_back_ends_limited_a_request_is_refused_at_once() {
-    let scripts = vec![(vec![], NAMES_LITTLE), (vec![], NAMES_LITTLE)];
-    let edge = Edge::start(Rules::default(), scripts).await;
+    let scripts = vec![(vec![], LOW_LIMIT), (vec![], LOW_LIMIT)];
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
     let control = issue_tokens(&edge.state);
-    ask_for(&edge, "before", Duration::from_millis(300)).await;
-    let asked = Instant::now();
-    let answer = ask(&edge, "last").await;
-    expect_that!(asked.elapsed(), le(AT_ONCE));
+    request_for(&edge, "before", Duration::from_millis(300)).await;
+    let started = Instant::now();
+    let answer = request(&edge, "last").await;
+    expect_that!(started.elapsed(), le(REFUSED_WITHIN));
     expect_that!(
         (answer.status, answer.body.as_str()),
         eq((503, "rate-limited\n"))
@@ -109,75 +109,79 @@
     control.abort();
 }
 
-/// Guards against a limit that outlasts the back end's word.
+/// Guards against a limit that stays in force after the back end stopped reporting it.
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_names_no_limit_any_more_is_in_full_use() {
+async fn a_back_end_that_stops_reporting_a_limit_gets_all_requests() {
     let scripts = vec![(vec![LIMITED; 6], GOOD)];
-    let edge = Edge::start(Rules::default(), scripts).await;
+    let edge = Edge::start(RouteSettings::default(), scripts).await;
     let control = issue_tokens(&edge.state);
-    ask_for(&edge, "limited", Duration::from_secs(2)).await;
+    request_for(&edge, "limited", Duration::from_secs(2)).await;
     let before = edge.arrivals();
-    let answers = ask_for(&edge, "after", Duration::from_secs(1)).await;
+    let answers = request_for(&edge, "after", Duration::from_secs(1)).await;
     expect_that!(edge.arrivals() - before, eq(answers.len()));
     expect_that!(edge.state.routing().backends.limited_count(), eq(0));
     control.abort();
 }
 
-/// Guards against a daemon that goes without control and keeps to no limit, or to the whole.
+/// Guards against a daemon that ignores the limit without control, or uses all of it alone.
 #[gtest]
 #[tokio::test]
-async fn without_control_a_daemon_keeps_to_its_own_part() {
-    for follows in [false, true] {
-        let edge = Edge::start(Rules::default(), vec![(vec![], LIMITED), (vec![], GOOD)]).await;
-        // Connected with control, of which no process leads.
-        edge.state.set_following(follows);
-        ask_for(&edge, "before", Duration::from_millis(500)).await;
+async fn without_control_a_daemon_keeps_to_its_share_of_the_limit() {
+    for is_following in [false, true] {
+        let edge = Edge::start(
+            RouteSettings::default(),
+            vec![(vec![], LIMITED), (vec![], GOOD)],
+        )
+        .await;
+        // If connected with control, then without a leader that issues tokens.
+        edge.state.set_following(is_following);
+        request_for(&edge, "before", Duration::from_millis(500)).await;
         let before = edge.backends[0].arrivals();
-        ask_for(&edge, "after", Duration::from_secs(4)).await;
-        // Two a second are the part of all daemons; it knows no other.
+        request_for(&edge, "after", Duration::from_secs(4)).await;
+        // All daemons together may send two a second; this one knows no other.
         let arrived = edge.backends[0].arrivals() - before;
-        expect_that!(arrived, all![ge(1), le(9)], "follows: {follows}");
+        expect_that!(arrived, all![ge(1), le(9)], "following: {is_following}");
     }
 }
 
-/// Guards against one daemon that errs or lies and limits a back end at all others.
+/// Guards against one faulty daemon that limits a back end at all others.
 #[gtest]
 #[tokio::test]
-async fn a_limit_is_believed_of_two_other_daemons() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], GOOD)]).await;
+async fn a_limit_applies_when_two_other_daemons_report_it() {
+    let edge = Edge::start(RouteSettings::default(), vec![(vec![], GOOD)]).await;
     let state = &edge.state;
     let backend = state
         .routing()
         .backends
         .iter()
         .next()
-        .map(|one| one.incarnation_hash);
-    let news = |reporter| RateLimitUpdate {
+        .map(|backend| backend.incarnation_hash);
+    let update = |reporter| RateLimitUpdate {
         reporter,
         backend: backend.expect("a back end"),
         rate: Some(Rate::per_second(5.0)),
         age_ms: 0,
     };
-    state.adopt_rate_limits(&[news(1), news(1)]);
+    state.adopt_rate_limits(&[update(1), update(1)]);
     expect_that!(state.routing().backends.limited_count(), eq(0));
-    state.adopt_rate_limits(&[news(2)]);
+    state.adopt_rate_limits(&[update(2)]);
     expect_that!(state.routing().backends.limited_count(), eq(1));
 }
 
-/// Guards against a later incarnation that is bound by what an earlier one named.
+/// Guards against applying the limit of an earlier incarnation to a later one.
 #[gtest]
 #[tokio::test]
-async fn a_limit_belongs_to_the_incarnation_that_named_it() {
-    let edge = Edge::start(Rules::default(), vec![(vec![], LIMITED)]).await;
+async fn a_limit_applies_only_to_the_incarnation_that_reported_it() {
+    let edge = Edge::start(RouteSettings::default(), vec![(vec![], LIMITED)]).await;
     let address = edge.backends[0].address();
     let incarnation = |born| {
-        let mut news = common::news(0, address, InstancePhase::Ready);
-        news.instance.born = Some(born);
-        news
+        let mut update = common::instance_update(0, address, InstancePhase::Ready);
+        update.instance.born = Some(born);
+        update
     };
     edge.state.adopt_instances(vec![incarnation(1)]);
-    ask(&edge, "first").await;
+    request(&edge, "first").await;
     expect_that!(edge.state.routing().backends.limited_count(), eq(1));
     edge.state.adopt_instances(vec![incarnation(2)]);
     expect_that!(edge.state.routing().backends.limited_count(), eq(0));
--- a/crates/coursestand-proxy/tests/silent_connections.rs
+++ b/crates/coursestand-proxy/tests/silent_connections.rs
@@ -1,14 +1,14 @@
-//! Connections to back ends that fall silent for good, without an end or a reset,
-//! while new ones work. A request that may be repeated is served all the same, long
-//! before its deadline; one that may run once never runs twice; and one loss is not
-//! repeated on each connection that was kept since before it.
+//! Open connections to back ends stop carrying data, without a FIN or a reset, while new
+//! connections work. A repeatable request is retried and answered long before its deadline;
+//! a request that may run once never runs twice; and after one such failure the other
+//! connections that were opened before it are not used again.
 #![allow(missing_docs)]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Answer, Caller, Edge, PROMISES, Rules, news};
+use common::{Answer, Caller, Edge, NOT_RUN_STATUSES, RouteSettings, instance_update};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 use coursestand_lab::silent_relay::{Carriage, SilentRelay};
@@ -16,13 +16,13 @@
 use tokio::time::Instant;
 
 const GOOD: Behaviour = Behaviour::Answer(200);
-/// Long against the time within which a silence is to be noticed.
+/// Longer than the time within which a silent connection must be detected.
 const TIMEOUT: Duration = Duration::from_secs(4);
-/// A request is repeated once half of its time has passed at the latest, half a second
-/// where nothing else keeps the machine busy; the rest is for the answer.
-const NOTICED: Duration = Duration::from_millis(2_500);
+/// A request is retried after half of its time-out at the latest, on an idle machine after
+/// half a second; the remainder is for the answer.
+const ANSWERED_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Back ends behind relays, and a daemon in front of them.
+/// A daemon whose back ends are behind relays that can stop forwarding.
 struct Fleet {
     edge: Edge,
     backends: Vec<ScriptedBackend>,
@@ -30,8 +30,8 @@
 }
 
 impl Fleet {
-    async fn start(rules: Rules, scripts: Vec<(Vec<Behaviour>, Behaviour)>) -> Fleet {
-        let edge = Edge::start(rules, vec![]).await;
+    async fn start(settings: RouteSettings, scripts: Vec<(Vec<Behaviour>, Behaviour)>) -> Fleet {
+        let edge = Edge::start(settings, vec![]).await;
         let mut backends = Vec::new();
         let mut relays = Vec::new();
         for (number, (script, otherwise)) in scripts.into_iter().enumerate() {
@@ -41,7 +41,7 @@
             let relay = SilentRelay::start(backend.address())
                 .await
                 .expect("a relay");
-            let ready = news(number, relay.address(), InstancePhase::Ready);
+            let ready = instance_update(number, relay.address(), InstancePhase::Ready);
             edge.state.adopt_instances(vec![ready]);
             backends.push(backend);
             relays.push(relay);
@@ -53,9 +53,9 @@
         }
     }
 
-    /// One good back end.
-    async fn of_one() -> Fleet {
-        Fleet::start(rules(), vec![(vec![], GOOD)]).await
+    /// Starts one back end that answers with 200.
+    async fn with_one_backend() -> Fleet {
+        Fleet::start(settings(), vec![(vec![], GOOD)]).await
     }
 
     fn silence(&self, carriage: Carriage) {
@@ -68,8 +68,8 @@
         self.relays.iter().map(SilentRelay::connections).sum()
     }
 
-    /// Requests that were repeated for a silence so far.
-    fn repeated(&self) -> u64 {
+    /// Number of requests that were retried because a connection was silent.
+    fn silent_failures(&self) -> u64 {
         let failures = &self.edge.exchange.metrics().failures;
         failures.with_label_values(&["silent"]).get()
     }
@@ -79,30 +79,35 @@
         runs.filter(|run| run.id == id).count()
     }
 
-    /// Asks for another object each time, so that all back ends get requests.
-    async fn ask(&self, path: &str, id: &str) -> (Answer, Duration) {
-        let asked_at = Instant::now();
+    /// Requests the object `id`; with distinct ids all back ends get requests.
+    async fn request(&self, path: &str, id: &str) -> (Answer, Duration) {
+        let started = Instant::now();
         let mut caller = Caller::connect(self.edge.server.address()).await;
-        caller.send_about(path, id, id).await;
-        (caller.receive().await, asked_at.elapsed())
+        caller.send_for_object(path, id, id).await;
+        (caller.receive().await, started.elapsed())
     }
 
-    /// So many requests at once, so that as many connections are kept.
-    async fn ask_together(&self, path: &str, name: &str, count: usize) -> Vec<(Answer, Duration)> {
+    /// Sends `count` requests at once, so that as many connections are opened and kept.
+    async fn request_concurrently(
+        &self,
+        path: &str,
+        name: &str,
+        count: usize,
+    ) -> Vec<(Answer, Duration)> {
         let ids: Vec<String> = (0..count).map(|number| format!("{name}{number}")).collect();
-        let asked = ids.iter().map(|id| self.ask(path, id));
-        futures::future::join_all(asked).await
+        let requests = ids.iter().map(|id| self.request(path, id));
+        futures::future::join_all(requests).await
     }
 }
 
-fn rules() -> Rules {
-    Rules {
+fn settings() -> RouteSettings {
+    RouteSettings {
         timeout_ms: TIMEOUT.as_millis() as u64,
-        ..Rules::default()
+        ..RouteSettings::default()
     }
 }
 
-/// Long enough for requests that are sent together to be under way together.
+/// Slow enough that concurrent requests are in flight at the same time.
 fn slow() -> Behaviour {
     Behaviour::Slow(Duration::from_millis(30))
 }
@@ -113,22 +118,22 @@
 
 #[gtest]
 #[tokio::test]
-async fn kept_connections_that_are_silent_cost_one_repeat_and_no_deadline() {
+async fn silent_pooled_connections_cost_one_retry_and_no_deadline() {
     for carriage in [Carriage::Nothing, Carriage::Requests, Carriage::NoSegment] {
-        let fleet = Fleet::start(rules(), vec![(vec![], slow())]).await;
-        fleet.ask_together("/safe/a", "warm", 4).await;
+        let fleet = Fleet::start(settings(), vec![(vec![], slow())]).await;
+        fleet.request_concurrently("/safe/a", "warm", 4).await;
         settle().await;
         expect_that!(fleet.connections(), ge(3));
         fleet.silence(carriage);
         settle().await;
-        let (answer, took) = fleet.ask("/safe/a", "first").await;
+        let (answer, took) = fleet.request("/safe/a", "first").await;
         expect_that!(answer.status, eq(200), "{carriage:?}");
-        expect_that!(took, lt(NOTICED), "{carriage:?}");
+        expect_that!(took, lt(ANSWERED_WITHIN), "{carriage:?}");
         for number in 0..4 {
-            let (answer, _) = fleet.ask("/safe/a", &format!("later{number}")).await;
+            let (answer, _) = fleet.request("/safe/a", &format!("later{number}")).await;
             expect_that!(answer.status, eq(200), "{carriage:?}");
         }
-        expect_that!(fleet.repeated(), eq(1), "{carriage:?}");
+        expect_that!(fleet.silent_failures(), eq(1), "{carriage:?}");
     }
 }
 
@@ -137,15 +142,15 @@
 async fn requests_in_flight_on_connections_that_fall_silent_are_served() {
     for _ in 0..3 {
         let pause = Behaviour::Slow(Duration::from_millis(150));
-        let fleet = Fleet::start(rules(), vec![(vec![], pause)]).await;
-        fleet.ask_together("/safe/a", "warm", 3).await;
+        let fleet = Fleet::start(settings(), vec![(vec![], pause)]).await;
+        fleet.request_concurrently("/safe/a", "warm", 3).await;
         settle().await;
-        let asked = fleet.ask_together("/safe/a", "flying", 3);
+        let answers = fleet.request_concurrently("/safe/a", "flying", 3);
         let silenced = async {
             settle().await;
             fleet.silence(Carriage::Nothing);
         };
-        let (answers, ()) = tokio::join!(asked, silenced);
+        let (answers, ()) = tokio::join!(answers, silenced);
         for (answer, took) in answers {
             expect_that!(answer.status, eq(200));
             expect_that!(took, lt(Duration::from_millis(2_500)));
@@ -155,49 +160,49 @@
 
 #[gtest]
 #[tokio::test]
-async fn connections_that_fall_silent_again_and_again_cost_as_much_each_time() {
-    let fleet = Fleet::of_one().await;
-    fleet.ask("/safe/a", "warm").await;
+async fn each_time_connections_fall_silent_costs_one_retry() {
+    let fleet = Fleet::with_one_backend().await;
+    fleet.request("/safe/a", "warm").await;
     for round in 0..4 {
         fleet.silence(Carriage::Nothing);
         settle().await;
-        let (answer, took) = fleet.ask("/safe/a", &format!("first{round}")).await;
+        let (answer, took) = fleet.request("/safe/a", &format!("first{round}")).await;
         expect_that!(answer.status, eq(200));
-        expect_that!(took, lt(NOTICED));
-        let (answer, _) = fleet.ask("/safe/a", &format!("second{round}")).await;
+        expect_that!(took, lt(ANSWERED_WITHIN));
+        let (answer, _) = fleet.request("/safe/a", &format!("second{round}")).await;
         expect_that!(answer.status, eq(200));
-        expect_that!(fleet.repeated(), eq(round + 1));
+        expect_that!(fleet.silent_failures(), eq(round + 1));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_must_not_be_repeated_runs_once_at_most_on_a_silent_connection() {
+async fn a_request_that_must_not_be_repeated_runs_at_most_once_on_a_silent_connection() {
     for (carriage, runs) in [
         (Carriage::Nothing, 0),
         (Carriage::Requests, 1),
         (Carriage::NoSegment, 0),
     ] {
         let fleet = Fleet::start(
-            Rules {
+            RouteSettings {
                 timeout_ms: 2_500,
-                ..rules()
+                ..settings()
             },
             vec![(vec![], slow())],
         )
         .await;
-        fleet.ask_together("/once/a", "warm", 3).await;
-        fleet.ask_together("/safe/a", "warmed", 3).await;
+        fleet.request_concurrently("/once/a", "warm", 3).await;
+        fleet.request_concurrently("/safe/a", "warmed", 3).await;
         settle().await;
         fleet.silence(carriage);
         settle().await;
-        let (answer, _) = fleet.ask("/once/a", "lost").await;
+        let (answer, _) = fleet.request("/once/a", "lost").await;
         expect_that!(fleet.runs_of("lost"), eq(runs), "{carriage:?}");
         expect_that!(answer.status, any![eq(502), eq(504)], "{carriage:?}");
-        expect_that!(PROMISES.contains(&answer.status), eq(false));
-        // Its silence told of the others that were kept.
+        expect_that!(NOT_RUN_STATUSES.contains(&answer.status), eq(false));
+        // The other pooled connections were closed after this failure.
         for number in 0..3 {
-            let (answer, _) = fleet.ask("/once/a", &format!("later{number}")).await;
+            let (answer, _) = fleet.request("/once/a", &format!("later{number}")).await;
             expect_that!(answer.status, eq(200), "{carriage:?}");
         }
     }
@@ -205,12 +210,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn silence_at_two_back_ends_tells_of_the_connections_to_all_others() {
+async fn silent_connections_to_two_back_ends_close_those_to_all_others() {
     let scripts = (0..6).map(|_| (vec![], slow())).collect();
-    let fleet = Fleet::start(rules(), scripts).await;
+    let fleet = Fleet::start(settings(), scripts).await;
     for round in 0..4 {
         fleet
-            .ask_together("/safe/a", &format!("warm{round}-"), 12)
+            .request_concurrently("/safe/a", &format!("warm{round}-"), 12)
             .await;
     }
     settle().await;
@@ -219,63 +224,63 @@
     fleet.silence(Carriage::Nothing);
     settle().await;
     for number in 0..20 {
-        let (answer, _) = fleet.ask("/safe/a", &format!("r{number}")).await;
+        let (answer, _) = fleet.request("/safe/a", &format!("r{number}")).await;
         expect_that!(answer.status, eq(200));
     }
-    expect_that!(fleet.repeated(), eq(2));
+    expect_that!(fleet.silent_failures(), eq(2));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_that_is_slow_is_not_broken_off_once_the_budget_is_spent() {
+async fn a_slow_back_end_is_not_abandoned_once_the_retry_budget_is_spent() {
     let long = Behaviour::Slow(Duration::from_millis(1_500));
-    let rules = Rules {
+    let settings = RouteSettings {
         retry_ratio: 0.0,
-        ..rules()
+        ..settings()
     };
-    let fleet = Fleet::start(rules, vec![(vec![GOOD; 3], long)]).await;
+    let fleet = Fleet::start(settings, vec![(vec![GOOD; 3], long)]).await;
     for number in 0..3 {
-        fleet.ask("/safe/a", &format!("warm{number}")).await;
+        fleet.request("/safe/a", &format!("warm{number}")).await;
     }
-    let mut repeats = 0;
+    let mut retries = 0;
     for number in 0..3 {
         let id = format!("slow{number}");
-        let (answer, _) = fleet.ask("/safe/a", &id).await;
+        let (answer, _) = fleet.request("/safe/a", &id).await;
         expect_that!(answer.status, eq(200));
-        repeats += fleet.runs_of(&id) - 1;
+        retries += fleet.runs_of(&id) - 1;
     }
-    // Six requests earn less than one repeat.
-    expect_that!(repeats, eq(0));
+    // Six requests earn less than one retry.
+    expect_that!(retries, eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_repeat_counts_among_the_attempts_of_its_route() {
-    let rules = Rules {
+async fn a_retry_after_silence_counts_as_an_attempt_of_its_route() {
+    let settings = RouteSettings {
         max_attempts: 1,
         timeout_ms: 1_500,
-        ..rules()
+        ..settings()
     };
-    let fleet = Fleet::start(rules, vec![(vec![], GOOD)]).await;
-    fleet.ask("/safe/a", "warm").await;
+    let fleet = Fleet::start(settings, vec![(vec![], GOOD)]).await;
+    fleet.request("/safe/a", "warm").await;
     settle().await;
     fleet.silence(Carriage::Requests);
     settle().await;
-    let (answer, _) = fleet.ask("/safe/a", "lost").await;
+    let (answer, _) = fleet.request("/safe/a", "lost").await;
     expect_that!(answer.status, eq(504));
     expect_that!(fleet.runs_of("lost"), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_connection_whose_peer_confirms_nothing_is_not_kept() {
-    let fleet = Fleet::of_one().await;
-    fleet.ask("/once/a", "warm").await;
+async fn an_idle_connection_whose_peer_acknowledges_nothing_is_closed() {
+    let fleet = Fleet::with_one_backend().await;
+    fleet.request("/once/a", "warm").await;
     settle().await;
     fleet.silence(Carriage::NoSegment);
-    // Within the time for which an idle connection is kept.
+    // Shorter than the time for which an idle connection is kept.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let (answer, _) = fleet.ask("/once/a", "r1").await;
+    let (answer, _) = fleet.request("/once/a", "r1").await;
     expect_that!(answer.status, eq(200));
     expect_that!(fleet.connections(), eq(2));
 }
--- a/crates/coursestand-proxy/tests/unsettled_retries.rs
+++ b/crates/coursestand-proxy/tests/unresolved_retries.rs
@@ -1,5 +1,5 @@
-//! A retry of which nobody knows whether it has arrived holds another one back until its
-//! back end answers something later, or has ended.
+//! A retry that may not have arrived withholds one retry from the budget until its back end
+//! answers a later request or crashes.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Edge, Rules};
+use common::{Edge, RouteSettings};
 use coursestand_lab::items;
 use coursestand_lab::scripted::Behaviour;
 use coursestand_model::ServiceId;
@@ -19,7 +19,7 @@
 use googletest::prelude::*;
 use http::Method;
 
-const LEFT: Duration = Duration::from_secs(1);
+const REMAINING_TIME: Duration = Duration::from_secs(1);
 
 struct Fixture {
     edge: Edge,
@@ -28,12 +28,12 @@
 
 impl Fixture {
     async fn start() -> Fixture {
-        let rules = Rules {
+        let settings = RouteSettings {
             // Each request earns one retry.
             retry_ratio: 2.0,
-            ..Rules::default()
+            ..RouteSettings::default()
         };
-        let edge = Edge::start(rules, vec![(vec![], Behaviour::Answer(200))]).await;
+        let edge = Edge::start(settings, vec![(vec![], Behaviour::Answer(200))]).await;
         let router = Router::new(Arc::clone(&edge.state));
         Fixture { edge, router }
     }
@@ -51,7 +51,7 @@
         self.router.match_request(&head).expect("a route")
     }
 
-    fn repeat(&self, matched: &Matched) -> Target {
+    fn retry_target(&self, matched: &Matched) -> Target {
         let attempts = Attempts {
             arrived: 1,
             ..Attempts::default()
@@ -59,12 +59,12 @@
         self.router.choose(matched, &attempts).expect("a back end")
     }
 
-    fn first(&self, matched: &Matched) -> Target {
+    fn first_target(&self, matched: &Matched) -> Target {
         let attempts = Attempts::default();
         self.router.choose(matched, &attempts).expect("a back end")
     }
 
-    fn held(&self) -> usize {
+    fn withheld(&self) -> usize {
         let routing = self.edge.state.routing();
         let budget = &routing.budgets[&ServiceId::from("s")];
         budget.withheld(self.edge.state.now(), self.edge.state.bounds().retries)
@@ -73,61 +73,63 @@
     fn may_retry(&self, matched: &Matched) -> bool {
         let failure = AttemptFailure::Lost;
         let attempts = Attempts::default();
-        let verdict = self.router.may_retry(matched, &attempts, failure, LEFT);
+        let verdict = self
+            .router
+            .may_retry(matched, &attempts, failure, REMAINING_TIME);
         verdict.is_granted()
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_retry_that_was_given_up_holds_another_back_until_its_back_end_answers() {
+async fn an_abandoned_retry_withholds_one_until_its_back_end_answers() {
     let fixture = Fixture::start().await;
     let matched = fixture.request();
-    let repeat = fixture.repeat(&matched);
-    expect_that!(fixture.held(), eq(0));
-    fixture.router.finished(&repeat, AttemptEnding::Unresolved);
-    expect_that!(fixture.held(), eq(1));
+    let retry = fixture.retry_target(&matched);
+    expect_that!(fixture.withheld(), eq(0));
+    fixture.router.finished(&retry, AttemptEnding::Unresolved);
+    expect_that!(fixture.withheld(), eq(1));
     expect_that!(fixture.may_retry(&matched), eq(false));
-    let later = fixture.first(&matched);
+    let later = fixture.first_target(&matched);
     fixture.router.answered(&later, &BackendReport::default());
-    expect_that!(fixture.held(), eq(0));
+    expect_that!(fixture.withheld(), eq(0));
     expect_that!(fixture.may_retry(&matched), eq(true));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_retry_that_was_answered_holds_nothing_back() {
+async fn an_answered_retry_withholds_nothing() {
     let fixture = Fixture::start().await;
     let matched = fixture.request();
-    let repeat = fixture.repeat(&matched);
-    fixture.router.finished(&repeat, AttemptEnding::Resolved);
-    expect_that!(fixture.held(), eq(0));
+    let retry = fixture.retry_target(&matched);
+    fixture.router.finished(&retry, AttemptEnding::Resolved);
+    expect_that!(fixture.withheld(), eq(0));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_is_sent_again_after_a_silence_holds_one_back_for_its_first_copy() {
+async fn a_request_retried_after_silence_withholds_one_for_its_first_copy() {
     let fixture = Fixture::start().await;
     let matched = fixture.request();
-    let first = fixture.first(&matched);
+    let first = fixture.first_target(&matched);
     let report = BackendReport::default();
     fixture
         .router
         .failed(&first, AttemptFailure::Silent, &report);
     fixture.router.finished(&first, AttemptEnding::Unresolved);
-    expect_that!(fixture.held(), eq(1));
+    expect_that!(fixture.withheld(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn what_a_back_end_that_has_ended_did_not_read_holds_nothing_back() {
+async fn a_crashed_back_end_withholds_nothing_for_unread_copies() {
     let fixture = Fixture::start().await;
     let matched = fixture.request();
-    let repeat = fixture.repeat(&matched);
-    fixture.router.finished(&repeat, AttemptEnding::Unresolved);
+    let retry = fixture.retry_target(&matched);
+    fixture.router.finished(&retry, AttemptEnding::Unresolved);
     fixture.edge.state.publish_finding(Finding::Ended {
-        backend: repeat.incarnation_hash,
+        backend: retry.incarnation_hash,
         in_flight_requests: Vec::new(),
     });
-    expect_that!(fixture.held(), eq(0));
+    expect_that!(fixture.withheld(), eq(0));
 }
