--- a/crates/coursestand-proxy/tests/answers.rs
+++ b/crates/coursestand-proxy/tests/answers.rs
@@ -124,7 +124,7 @@
     let edge = Edge::start(RouteSettings::default(), vec![(vec![slow], GOOD)]).await;
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "r1", "", b"").await;
-    while edge.arrivals() == 0 {
+    while edge.arrival_count() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     drop(caller);
--- a/crates/coursestand-proxy/tests/attempts.rs
+++ b/crates/coursestand-proxy/tests/attempts.rs
@@ -140,7 +140,7 @@
     let script = vec![Behaviour::ShedTelling("4,12,4")];
     let edge = Edge::start(RouteSettings::default(), vec![(script, GOOD)]).await;
     expect_that!(edge.request("/once/a", "r1").await.status, eq(503));
-    expect_that!(edge.arrivals(), eq(1));
+    expect_that!(edge.arrival_count(), eq(1));
 }
 
 #[gtest]
@@ -182,13 +182,13 @@
     };
     let edge = Edge::start(settings, scripts.clone()).await;
     edge.request("/safe/a", "r1").await;
-    expect_that!(edge.arrivals(), eq(2));
+    expect_that!(edge.arrival_count(), eq(2));
     let unlimited = Edge::start_with(settings, scripts, |state| {
         Arc::new(RetryAll(Router::new(state)))
     })
     .await;
     unlimited.request("/safe/a", "r1").await;
-    expect_that!(unlimited.arrivals(), gt(2));
+    expect_that!(unlimited.arrival_count(), gt(2));
 }
 
 #[gtest]
@@ -204,7 +204,7 @@
     for number in 0..requests {
         edge.request("/safe/a", &format!("r{number}")).await;
     }
-    let retries = edge.arrivals().saturating_sub(requests);
+    let retries = edge.arrival_count().saturating_sub(requests);
     expect_that!(retries as f64, le(0.2 * requests as f64));
     expect_that!(retries, gt(0));
 }
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -93,7 +93,7 @@
     let edge = Edge::start(RouteSettings::default(), vec![(vec![], REQUESTS_BACKOFF)]).await;
     let answer = request(&edge, "/once/a", "r1").await;
     expect_that!(answer.status, eq(503));
-    expect_that!(edge.arrivals(), eq(1));
+    expect_that!(edge.arrival_count(), eq(1));
     expect_that!(retry_after_seconds(&answer), some(ge(1.9)));
 }
 
@@ -106,7 +106,7 @@
     for backend in [0, 1] {
         request_until_arrival(&edge, backend).await;
     }
-    let before = edge.arrivals();
+    let before = edge.arrival_count();
     for number in 0..20 {
         let started = Instant::now();
         let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
@@ -115,7 +115,7 @@
         // The earliest end of a back-off, plus jitter so that callers don't return at once.
         expect_that!(retry_after_seconds(&answer), some(all![gt(1.0), lt(4.0)]));
     }
-    expect_that!(edge.arrivals(), eq(before));
+    expect_that!(edge.arrival_count(), eq(before));
 }
 
 #[gtest]
@@ -242,7 +242,7 @@
     let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(retry_after_seconds(&answer), some(ge(1.9)));
-    expect_that!(edge.arrivals(), eq(0));
+    expect_that!(edge.arrival_count(), eq(0));
 }
 
 #[gtest]
@@ -256,7 +256,7 @@
         move |router: &Router, target: &Target| router.head_received(target, &report);
     let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
-    expect_that!(edge.arrivals(), eq(0));
+    expect_that!(edge.arrival_count(), eq(0));
 }
 
 /// Guards against sending a request whose back end was chosen before it reported a rate
@@ -272,7 +272,7 @@
         move |router: &Router, target: &Target| router.head_received(target, &report);
     let (edge, answer) = request_with_hook(Box::new(after_choice)).await;
     expect_that!(answer.status, eq(503));
-    expect_that!(edge.arrivals(), eq(0));
+    expect_that!(edge.arrival_count(), eq(0));
 }
 
 #[gtest]
@@ -295,7 +295,7 @@
     assert!(shared.set(Arc::clone(&edge.state)).is_ok());
     let answer = edge.request("/once/a", "r1").await;
     expect_that!(answer.status, eq(503));
-    expect_that!(edge.arrivals(), eq(0));
+    expect_that!(edge.arrival_count(), eq(0));
 }
 
 /// A back end that can't reach control reports only in its answers that it is draining. A
--- a/crates/coursestand-proxy/tests/callers_that_leave.rs
+++ b/crates/coursestand-proxy/tests/callers_that_leave.rs
@@ -52,7 +52,7 @@
             request_and_disconnect(edge.server.address(), "/safe/a", &format!("r{number}"));
         }
         pause(300).await;
-        expect_that!(edge.arrivals(), eq(usize::from(is_warm)));
+        expect_that!(edge.arrival_count(), eq(usize::from(is_warm)));
     }
 }
 
@@ -64,7 +64,7 @@
         let mut caller = Caller::connect(edge.server.address()).await;
         caller.request(path, "warm", "").await;
         caller.send(path, "left", "", b"a body").await;
-        while edge.arrivals() < 2 {
+        while edge.arrival_count() < 2 {
             pause(5).await;
         }
         drop(caller);
@@ -93,11 +93,11 @@
     }
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "left", "", b"").await;
-    while edge.arrivals() + failing.arrivals() == 0 || edge.arrivals() == 0 {
+    while edge.arrival_count() + failing.arrivals() == 0 || edge.arrival_count() == 0 {
         pause(5).await;
     }
     drop(caller);
-    let all_arrivals = || edge.arrivals() + failing.arrivals();
+    let all_arrivals = || edge.arrival_count() + failing.arrivals();
     let before = all_arrivals();
     pause(CANCELLED_WITHIN.as_millis() as u64).await;
     expect_that!(all_arrivals(), eq(before));
@@ -141,13 +141,13 @@
         callers.push(caller);
     }
     pause(200).await;
-    let before = edge.arrivals();
+    let before = edge.arrival_count();
     // The others wait for a connection to the full listener; after the connect time-out they
     // would go to the other back end.
     expect_that!(before, lt(6));
     drop(callers);
     pause(1_500).await;
-    expect_that!(edge.arrivals(), eq(before));
+    expect_that!(edge.arrival_count(), eq(before));
     expect_that!(edge.exchange.metrics().in_flight.get(), eq(0));
 }
 
@@ -185,7 +185,7 @@
     let edge = Edge::start(RouteSettings::default(), vec![(vec![], Behaviour::Trickle)]).await;
     let mut caller = Caller::connect(edge.server.address()).await;
     caller.send("/safe/a", "left", "", b"").await;
-    while edge.arrivals() == 0 {
+    while edge.arrival_count() == 0 {
         pause(5).await;
     }
     pause(100).await;
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -192,7 +192,7 @@
             .count()
     }
 
-    pub fn arrivals(&self) -> usize {
+    pub fn arrival_count(&self) -> usize {
         self.backends.iter().map(ScriptedBackend::arrivals).sum()
     }
 
--- a/crates/coursestand-proxy/tests/fatal_requests.rs
+++ b/crates/coursestand-proxy/tests/fatal_requests.rs
@@ -55,7 +55,7 @@
     expect_that!(refused.header("retry-after"), some(anything()));
     let before: usize = edge.backends.iter().map(ScriptedBackend::arrivals).sum();
     request(&edge, "/safe/deadly", "once more", "deadly").await;
-    expect_that!(edge.arrivals(), eq(before));
+    expect_that!(edge.arrival_count(), eq(before));
 }
 
 /// Guards against a request fingerprint that contains the name of the route: a request that
--- a/crates/coursestand-proxy/tests/local_answers.rs
+++ b/crates/coursestand-proxy/tests/local_answers.rs
@@ -105,12 +105,15 @@
             expect_that!(runs, eq(0), "{description}");
         }
         if matches!(answer.status, 502 | 504) {
-            expect_that!(edge.arrivals(), ge(1), "{description}");
+            expect_that!(edge.arrival_count(), ge(1), "{description}");
         }
         if scenario.path == "/once/a" {
             expect_that!(runs, le(1), "{description}");
         }
-        expect_that!(edge.arrivals(), le(scenario.settings.max_attempts as usize));
+        expect_that!(
+            edge.arrival_count(),
+            le(scenario.settings.max_attempts as usize)
+        );
     }
 }
 
--- a/crates/coursestand-proxy/tests/narrow_link.rs
+++ b/crates/coursestand-proxy/tests/narrow_link.rs
@@ -155,5 +155,5 @@
         statuses.push(answer.map_or(0, |answer| answer.status));
     }
     expect_that!(statuses.last(), some(eq(&503)));
-    expect_that!(edge.arrivals(), eq(0));
+    expect_that!(edge.arrival_count(), eq(0));
 }
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -117,9 +117,9 @@
     let edge = Edge::start(RouteSettings::default(), scripts).await;
     let control = issue_tokens(&edge.state);
     request_for(&edge, "limited", Duration::from_secs(2)).await;
-    let before = edge.arrivals();
+    let before = edge.arrival_count();
     let answers = request_for(&edge, "after", Duration::from_secs(1)).await;
-    expect_that!(edge.arrivals() - before, eq(answers.len()));
+    expect_that!(edge.arrival_count() - before, eq(answers.len()));
     expect_that!(edge.state.routing().backends.limited_count(), eq(0));
     control.abort();
 }
--- a/crates/coursestand-proxy/tests/serving.rs
+++ b/crates/coursestand-proxy/tests/serving.rs
@@ -62,7 +62,7 @@
     let mut idle = Caller::connect(edge.server.address()).await;
     let mut busy = Caller::connect(edge.server.address()).await;
     busy.send("/once/a", "r1", "", b"a body").await;
-    while edge.arrivals() == 0 {
+    while edge.arrival_count() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     edge.exchange.set_stop_time(Instant::now() + TEST_TIMEOUT);
@@ -98,7 +98,7 @@
         }
         let mut caller = Caller::connect(edge.server.address()).await;
         caller.send("/once/a", "r1", "", b"a body").await;
-        while edge.arrivals() == 0 {
+        while edge.arrival_count() == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         // The process ends long before the route's time-out of a minute. Without the stop
