--- a/crates/coursestand-daemon/src/control/driver.rs
+++ b/crates/coursestand-daemon/src/control/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the consensus core of one replica on a thread of its own: takes
-//! messages and proposals, syncs, sends, applies.
+//! Drives the consensus core of one replica on a dedicated thread: receives messages and
+//! proposals, persists log entries, sends messages and applies committed entries.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -18,31 +18,31 @@
 use snafu::ResultExt;
 
 use crate::control::error::{ControlError, LogSnafu, ProposeSnafu, ThreadSnafu};
-use crate::control::event::{Event, Proposed};
+use crate::control::event::{Event, ProposalReply};
 use crate::control::identity::{self, Identity};
 use crate::control::log_writer::{Job, LogWriter};
 use crate::control::peers::PeerSender;
 use crate::control::proposals::Proposals;
-use crate::control::shared::{ControlShared, LeadingClock, LogReach, ReplicaStatus};
+use crate::control::shared::{ControlShared, LeadingClock, LogExtent, ReplicaStatus};
 use crate::control::status::status_of;
 
 const LOG: &str = "consensus";
-/// Time between two looks at the clock.
-const TICK: Duration = Duration::from_millis(10);
-/// Events taken in before the next sync: they share it.
+/// Interval between ticks of the consensus core.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of events that share one sync.
 const MAX_EVENTS_PER_SYNC: usize = 1024;
-/// A sync that takes longer is told: nothing that was proposed meanwhile is confirmed.
-const SLOW_SYNC: Duration = Duration::from_millis(500);
-/// Time for which the driver waits for a sync before it goes on with what needs none.
-/// Most take 5 to 20 ms; a leader's heartbeats are due each 100 ms.
-const SYNC_PATIENCE: Duration = Duration::from_millis(50);
-/// Entries after which the state machine is saved and the log is shortened.
+/// Syncs that take longer are logged: no proposal is confirmed while one is running.
+const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(500);
+/// Maximum time for which the driver waits for a sync before it continues with work that
+/// needs none. Most syncs take 5 to 20 ms; a leader's heartbeats are due every 100 ms.
+const MAX_SYNC_WAIT: Duration = Duration::from_millis(50);
+/// Number of applied entries after which a snapshot is taken and the log is compacted.
 const ENTRIES_PER_SNAPSHOT: u64 = 20_000;
 
-/// Pause before a replica whose storage failed starts again.
-const RESTART_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a replica whose storage failed restarts.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// Opens the storage in a folder, and returns what was saved there.
+/// Opens the storage in a folder and returns it with the persisted state.
 pub type OpenStorage =
     Box<dyn Fn(&Path) -> Result<(Box<dyn Storage + Send>, Restored), StorageError> + Send>;
 
@@ -53,67 +53,67 @@
     Ok((Box::new(log), restored))
 }
 
-/// The driver of one replica.
+/// Runs one replica of the control group.
 pub struct Driver {
     shared: Arc<ControlShared>,
     peers: Box<dyn PeerSender>,
     folder: PathBuf,
     open_storage: OpenStorage,
-    /// Synced copies of a command before its proposer is answered.
+    /// Synced copies of a command that are required before its proposer is answered.
     min_copies: usize,
     group: Option<Group>,
 }
 
-/// The replica once it has joined a group.
+/// State of a replica that has joined a group.
 struct Group {
     identity: Identity,
     replica: Replica,
-    /// Last index that the shared state holds; the replica counts entries as applied
-    /// once it hands them out.
+    /// Last index that the shared state includes. The consensus core counts entries as
+    /// applied as soon as it returns them.
     applied: LogIndex,
     writer: LogWriter,
-    /// What is being written.
-    writing: Option<Writing>,
-    /// Proposals that are not answered yet.
+    /// The write in progress.
+    writing: Option<PendingWrite>,
+    /// Proposals without an answer.
     proposals: Proposals,
 }
 
-/// What the log's thread is doing.
-struct Writing {
+/// A write in progress on the log writer's thread.
+struct PendingWrite {
     started: Instant,
-    work: Work,
+    work: WriteKind,
 }
 
-enum Work {
-    /// Saves what this holds.
+enum WriteKind {
+    /// Persists the entries, hard state and snapshot of a `Ready`.
     Save(Box<Ready>),
-    /// Shortens the log up to this entry.
-    Shorten(LogIndex),
+    /// Compacts the log up to this entry.
+    Compact(LogIndex),
 }
 
 impl Group {
-    /// How far the log reaches, if this replica is a voter by it.
-    fn reach(&self) -> Option<LogReach> {
+    /// Returns the extent of the log, or `None` unless this replica is a voter by its own log.
+    fn log_extent(&self) -> Option<LogExtent> {
         let is_voter = self.replica.membership().is_voter(self.identity.replica);
-        is_voter.then(|| LogReach {
+        is_voter.then(|| LogExtent {
             end: self.replica.log().persisted(),
             applied: self.applied,
         })
     }
 }
 
-/// Whether the driver goes on.
-enum Next {
-    GoOn,
+/// Whether the driver continues.
+enum Flow {
+    Continue,
     Stop,
 }
 
 impl Driver {
-    /// A driver with its data in `folder`; joins its group again when it was a
-    /// member before.
+    /// Returns a driver with its data in `folder`. A replica that is already a member of a
+    /// group rejoins it.
     ///
-    /// A proposer is answered once its command is on `min_copies` synced disks,
-    /// also where fewer make a majority.
+    /// A proposer is answered once its command is on `min_copies` synced disks, even if
+    /// fewer make a majority.
     pub fn open(
         shared: Arc<ControlShared>,
         peers: Box<dyn PeerSender>,
@@ -124,7 +124,7 @@
         Driver::with_storage(shared, peers, folder, open_storage, min_copies)
     }
 
-    /// The same with storage of another kind.
+    /// Like [`Self::open`], with custom storage.
     pub fn with_storage(
         shared: Arc<ControlShared>,
         peers: Box<dyn PeerSender>,
@@ -144,23 +144,23 @@
         Ok(driver)
     }
 
-    /// Starts from what is on disk.
+    /// Loads the persisted state and starts from it.
     fn restart(&mut self) -> Result<(), ControlError> {
-        let found = identity::read(&self.folder)?;
-        self.shared.set_log_reach(None);
-        // The log is applied from its start or from its snapshot on.
+        let persisted = identity::read(&self.folder)?;
+        self.shared.set_log_extent(None);
+        // The log is applied again from its snapshot or its first entry.
         *self.shared.state_mut() = ControlState::default();
-        if let Some(identity) = found {
+        if let Some(identity) = persisted {
             let (log, restored) = (self.open_storage)(&self.folder).context(LogSnafu)?;
-            self.begin(identity, log, restored)?;
+            self.start_replica(identity, log, restored)?;
         } else {
-            info!(target: LOG, "this replica is blank and waits to join a group");
+            info!(target: LOG, "this replica has no identity and waits to join a group");
         }
         self.publish();
         Ok(())
     }
 
-    fn begin(
+    fn start_replica(
         &mut self,
         identity: Identity,
         log: Box<dyn Storage + Send>,
@@ -185,24 +185,24 @@
             writing: None,
             proposals: Proposals::default(),
         };
-        self.shared.set_log_reach(group.reach());
+        self.shared.set_log_extent(group.log_extent());
         self.group = Some(group);
         Ok(())
     }
 
-    /// Runs until it is told to stop. When storage fails, the replica leaves its
-    /// part in the group and starts again from what is on disk.
+    /// Runs until [`Event::Stop`] arrives. When storage fails, the replica stops taking part
+    /// in the group and restarts from its disk.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
-            match self.turn(events) {
-                Ok(Next::GoOn) => {}
-                Ok(Next::Stop) => break,
+            match self.process_events(events) {
+                Ok(Flow::Continue) => {}
+                Ok(Flow::Stop) => break,
                 Err(failure) => {
-                    // What is on disk is no longer known: this replica must not
-                    // promise anything further on what it has in memory.
+                    // The state of the disk is unknown: this replica must not acknowledge
+                    // or vote on the basis of its state in memory.
                     error!(target: LOG, "this replica stops: {failure}");
-                    self.fail(&failure);
-                    if matches!(self.recover(events), Next::Stop) {
+                    self.enter_failed_state(&failure);
+                    if matches!(self.recover(events), Flow::Stop) {
                         break;
                     }
                 }
@@ -211,40 +211,41 @@
         self.shared.set_lease(0, None);
     }
 
-    /// Tries to start again until storage works.
-    fn recover(&mut self, events: &Receiver<Event>) -> Next {
+    /// Retries the restart until storage works.
+    fn recover(&mut self, events: &Receiver<Event>) -> Flow {
         loop {
-            std::thread::sleep(RESTART_PAUSE);
-            // Proposals and messages of the meantime are lost, as on a network.
+            std::thread::sleep(RESTART_DELAY);
+            // Proposals and messages that arrive while stopped are dropped, like packets on a
+            // network.
             while let Ok(event) = events.try_recv() {
                 if matches!(event, Event::Stop) {
-                    return Next::Stop;
+                    return Flow::Stop;
                 }
             }
             match self.restart() {
-                Ok(()) => return Next::GoOn,
+                Ok(()) => return Flow::Continue,
                 Err(failure) => {
-                    error!(target: LOG, "this replica stays stopped: {failure}");
-                    self.fail(&failure);
+                    error!(target: LOG, "restart failed, this replica stays stopped: {failure}");
+                    self.enter_failed_state(&failure);
                 }
             }
         }
     }
 
-    fn turn(&mut self, events: &Receiver<Event>) -> Result<Next, ControlError> {
-        let mut next = match events.recv_timeout(TICK) {
+    fn process_events(&mut self, events: &Receiver<Event>) -> Result<Flow, ControlError> {
+        let mut next = match events.recv_timeout(TICK_INTERVAL) {
             Ok(event) => Some(event),
             Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => return Ok(Next::Stop),
+            Err(RecvTimeoutError::Disconnected) => return Ok(Flow::Stop),
         };
-        let mut taken = 0;
+        let mut handled = 0;
         while let Some(event) = next {
             if matches!(event, Event::Stop) {
-                return Ok(Next::Stop);
+                return Ok(Flow::Stop);
             }
-            self.take(event)?;
-            taken += 1;
-            next = if taken < MAX_EVENTS_PER_SYNC {
+            self.handle_event(event)?;
+            handled += 1;
+            next = if handled < MAX_EVENTS_PER_SYNC {
                 events.try_recv().ok()
             } else {
                 None
@@ -253,13 +254,13 @@
         if let Some(group) = &mut self.group {
             group.replica.tick(self.shared.clock.now());
         }
-        while self.carry_out()? {}
-        self.shorten_log();
+        while self.process_ready()? {}
+        self.compact_log();
         self.publish();
-        Ok(Next::GoOn)
+        Ok(Flow::Continue)
     }
 
-    fn take(&mut self, event: Event) -> Result<(), ControlError> {
+    fn handle_event(&mut self, event: Event) -> Result<(), ControlError> {
         match event {
             Event::Message { from, message } => {
                 let now = self.shared.clock.now();
@@ -276,10 +277,10 @@
                 voters,
                 reply,
             } => {
-                // The asker may have gone; the result stands all the same.
+                // The requester may have gone; the join takes effect regardless.
                 let _ = reply.send(self.join(identity, voters));
             }
-            Event::HandOver => self.hand_over(),
+            Event::TransferLeadership => self.transfer_leadership(),
             Event::Stop => {}
         }
         Ok(())
@@ -294,7 +295,7 @@
             if group.identity == identity {
                 return Ok(());
             }
-            return Err(ControlError::Joined {
+            return Err(ControlError::AlreadyJoined {
                 cluster: group.identity.cluster,
                 replica: group.identity.replica,
             });
@@ -306,17 +307,17 @@
         };
         let hard_state = HardState::default();
         log.compact(&snapshot, hard_state, &[]).context(LogSnafu)?;
-        // The identity comes last: with it, the replica is a member.
+        // The identity is written last: it makes the replica a member.
         identity::write(&self.folder, identity)?;
         let restored = Restored {
             snapshot,
             ..Restored::default()
         };
-        self.begin(identity, log, restored)
+        self.start_replica(identity, log, restored)
     }
 
-    /// Stamps a command with the leader's clocks and proposes it.
-    fn propose_command(&mut self, command: Command, reply: Proposed) {
+    /// Stamps a command with the replicated clock and the wall clock, and proposes it.
+    fn propose_command(&mut self, command: Command, reply: ProposalReply) {
         let Some(clock) = self.shared.replicated_clock() else {
             let _ = reply.send(Err(ControlError::NotLeader));
             return;
@@ -335,7 +336,7 @@
         }
     }
 
-    fn propose(&mut self, payload: Payload, reply: Proposed) {
+    fn propose(&mut self, payload: Payload, reply: ProposalReply) {
         let now = self.shared.clock.now();
         let Some(group) = &mut self.group else {
             let _ = reply.send(Err(ControlError::NotJoined));
@@ -352,45 +353,45 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let now = self.shared.clock.now();
         let Some(group) = &mut self.group else {
             return;
         };
         if let Err(failure) = group.replica.hand_over(now) {
-            warn!(target: LOG, "the leadership was not handed over: {failure}");
+            warn!(target: LOG, "leadership was not transferred: {failure}");
         }
     }
 
-    /// Does what the replica asks for. Returns whether there may be more.
-    fn carry_out(&mut self) -> Result<bool, ControlError> {
+    /// Processes the next `Ready` of the consensus core. Returns whether there may be more.
+    fn process_ready(&mut self) -> Result<bool, ControlError> {
         let Some(group) = &mut self.group else {
             return Ok(false);
         };
         if group.writing.is_some() {
             let messages = group.replica.take_messages();
             self.send(messages);
-            return self.finish_writing(Duration::ZERO);
+            return self.finish_write(Duration::ZERO);
         }
         let mut ready = group.replica.ready();
         let messages = std::mem::take(&mut ready.messages);
         let committed = std::mem::take(&mut ready.committed);
-        let is_busy = !messages.is_empty() || !committed.is_empty();
+        let has_work = !messages.is_empty() || !committed.is_empty();
         self.send(messages);
-        // On this disk already: it need not wait for what is not.
+        // Committed entries are already on this disk, so they need not wait for the next sync.
         self.apply(committed);
         if !ready.needs_sync() {
             let has_answers = !ready.messages_after_sync.is_empty();
-            self.note_saved(ready);
-            return Ok(is_busy || has_answers);
+            self.handle_persisted(ready);
+            return Ok(has_work || has_answers);
         }
         let batch = Batch {
             hard_state: ready.hard_state,
             snapshot: ready.snapshot.clone(),
             entries: std::mem::take(&mut ready.entries),
         };
-        self.begin_writing(Job::Save(batch), Work::Save(Box::new(ready)));
-        self.finish_writing(SYNC_PATIENCE)
+        self.start_write(Job::Save(batch), WriteKind::Save(Box::new(ready)));
+        self.finish_write(MAX_SYNC_WAIT)
     }
 
     fn send(&mut self, messages: Vec<(ReplicaId, Message)>) {
@@ -402,9 +403,9 @@
         self.peers.send(cluster, replica, membership, messages);
     }
 
-    fn begin_writing(&mut self, job: Job, work: Work) {
+    fn start_write(&mut self, job: Job, work: WriteKind) {
         if let Some(group) = &mut self.group {
-            group.writing = Some(Writing {
+            group.writing = Some(PendingWrite {
                 started: Instant::now(),
                 work,
             });
@@ -412,8 +413,8 @@
         }
     }
 
-    /// Waits up to `limit` for what is being written. Returns whether it is done.
-    fn finish_writing(&mut self, limit: Duration) -> Result<bool, ControlError> {
+    /// Waits up to `limit` for the write in progress. Returns whether it completed.
+    fn finish_write(&mut self, limit: Duration) -> Result<bool, ControlError> {
         let Some(group) = &mut self.group else {
             return Ok(false);
         };
@@ -425,41 +426,43 @@
             return Ok(false);
         };
         let took = writing.started.elapsed();
-        if took > SLOW_SYNC {
+        if took > SLOW_SYNC_THRESHOLD {
             warn!(target: LOG, "the disk took {} ms to sync the log", took.as_millis());
         }
         match writing.work {
-            Work::Save(ready) => self.note_saved(*ready),
-            Work::Shorten(index) => info!(target: LOG, "the log was shortened up to entry {index}"),
+            WriteKind::Save(ready) => self.handle_persisted(*ready),
+            WriteKind::Compact(index) => {
+                info!(target: LOG, "the log was compacted up to entry {index}")
+            }
         }
         Ok(true)
     }
 
-    /// All that had to be saved is on the disk.
-    fn note_saved(&mut self, ready: Ready) {
+    /// Handles a `Ready` whose data is on the disk.
+    fn handle_persisted(&mut self, ready: Ready) {
         let Some(group) = &mut self.group else {
             return;
         };
         group.replica.persisted(self.shared.clock.now(), &ready);
-        // Before the leader hears of this copy and can count it.
-        self.shared.set_log_reach(group.reach());
+        // Before the acknowledgement is sent that lets the leader count this copy.
+        self.shared.set_log_extent(group.log_extent());
         self.send(ready.messages_after_sync);
         if let Some(snapshot) = &ready.snapshot
             && self.restore(snapshot)
         {
-            self.note_applied(snapshot.index);
+            self.set_applied(snapshot.index);
         }
     }
 
-    /// The shared state holds everything up to `index`.
-    fn note_applied(&mut self, index: LogIndex) {
+    /// Records that the shared state includes every entry up to `index`.
+    fn set_applied(&mut self, index: LogIndex) {
         if let Some(group) = &mut self.group {
             group.applied = index;
-            self.shared.set_log_reach(group.reach());
+            self.shared.set_log_extent(group.log_extent());
         }
     }
 
-    /// Returns whether the shared state is that of the snapshot.
+    /// Replaces the shared state by that of the snapshot. Returns whether it could be decoded.
     fn restore(&self, snapshot: &Snapshot) -> bool {
         if snapshot.data.is_empty() {
             return true;
@@ -468,7 +471,7 @@
             Ok(mut state) => {
                 state.restore_derived();
                 *self.shared.state_mut() = state;
-                self.shared.announce_versions();
+                self.shared.publish_versions();
                 true
             }
             Err(failure) => {
@@ -485,7 +488,7 @@
         let Some(group) = &mut self.group else {
             return;
         };
-        // What is committed is on a majority of the disks, whoever leads by now.
+        // A committed entry is on a majority of the disks, whichever replica leads.
         let needs_more_copies = self.min_copies > group.replica.membership().quorum();
         let mut state = self.shared.state_mut();
         for entry in committed {
@@ -501,18 +504,18 @@
             };
             group
                 .proposals
-                .applied(entry.index, entry.term, answer, needs_more_copies);
+                .record_applied(entry.index, entry.term, answer, needs_more_copies);
         }
         drop(state);
         let applied = group.replica.applied_index();
-        self.note_applied(applied);
-        self.shared.announce_versions();
+        self.set_applied(applied);
+        self.shared.publish_versions();
         if let Some(group) = &mut self.group {
-            group.proposals.answer();
+            group.proposals.send_ready();
         }
     }
 
-    fn shorten_log(&mut self) {
+    fn compact_log(&mut self) {
         let Some(group) = &mut self.group else {
             return;
         };
@@ -535,11 +538,11 @@
                 hard_state,
                 rest,
             };
-            self.begin_writing(job, Work::Shorten(applied));
+            self.start_write(job, WriteKind::Compact(applied));
         }
     }
 
-    /// Makes the newest role, lease and membership known.
+    /// Publishes the current role, lease and membership.
     fn publish(&mut self) {
         let now = self.shared.clock.now();
         let Some(group) = &mut self.group else {
@@ -564,8 +567,8 @@
             _ => {}
         }
         match group.replica.progress() {
-            Some(progress) => group.proposals.release(progress, self.min_copies),
-            None => group.proposals.lose_all(),
+            Some(progress) => group.proposals.send_replicated(progress, self.min_copies),
+            None => group.proposals.fail_all(),
         }
         self.shared.set_lease(group.replica.term(), lease_end);
         let log = group.replica.log();
@@ -575,11 +578,11 @@
             .set_status(status_of(group.identity, &group.replica, now));
     }
 
-    fn fail(&mut self, failure: &ControlError) {
+    fn enter_failed_state(&mut self, failure: &ControlError) {
         self.group = None;
         self.shared.set_leading_clock(None);
         self.shared.set_lease(0, None);
-        self.shared.set_log_reach(None);
+        self.shared.set_log_extent(None);
         self.shared.set_status(ReplicaStatus {
             role: "failed",
             failure: Some(failure.to_string()),
--- a/crates/coursestand-daemon/src/control/error.rs
+++ b/crates/coursestand-daemon/src/control/error.rs
@@ -1,22 +1,22 @@
-//! Errors of the control role.
+//! The error type of the control role.
 
 use std::path::PathBuf;
 
 use coursestand_consensus::{ProposeError, StorageError};
 use snafu::Snafu;
 
-/// Why the control role can't do something.
+/// Errors of the control role.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
     /// The log can't be opened or written.
-    #[snafu(display("the log: {source}"))]
+    #[snafu(display("can't access the log: {source}"))]
     Log {
         /// Cause.
         source: StorageError,
     },
     /// The thread that writes the log can't be started.
-    #[snafu(display("the thread that writes the log: {source}"))]
+    #[snafu(display("can't start the thread that writes the log: {source}"))]
     Thread {
         /// Cause.
         source: std::io::Error,
@@ -29,37 +29,37 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The identity file is damaged.
+    /// The identity file is malformed.
     #[snafu(display("{}: {source}", path.display()))]
-    IdentityText {
+    IdentityFormat {
         /// The file.
         path: PathBuf,
         /// Cause.
         source: serde_json::Error,
     },
-    /// The replica is a member of a control group already.
+    /// The replica is already a member of a control group.
     #[snafu(display("this replica is {replica} of control group {cluster}"))]
-    Joined {
+    AlreadyJoined {
         /// Its control group.
         cluster: u64,
         /// Its identity.
         replica: u64,
     },
-    /// The replica is no member of a control group.
+    /// The replica is not a member of a control group.
     #[snafu(display("this replica has not joined a control group"))]
     NotJoined,
-    /// Another replica leads, or none.
+    /// Another replica or none is the leader.
     #[snafu(display("this replica does not lead the control group"))]
     NotLeader,
-    /// The consensus core refused the proposal.
+    /// The consensus core rejected the proposal.
     #[snafu(display("{source}"))]
     Propose {
         /// Cause.
         source: ProposeError,
     },
-    /// The proposal may or may not be in force.
+    /// It is unknown whether the proposal was committed.
     #[snafu(display("leadership was lost before the change was known to be committed"))]
-    Lost,
+    LeadershipLost,
     /// The replica has stopped.
     #[snafu(display("this replica has stopped"))]
     Stopped,
--- a/crates/coursestand-daemon/src/control/event.rs
+++ b/crates/coursestand-daemon/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What the driver of a replica is asked to do.
+//! Events that the driver of a replica handles.
 
 use coursestand_consensus::{Membership, Message, ReplicaId};
 use coursestand_coordination::{Command, CommandAnswer};
@@ -7,43 +7,43 @@
 use crate::control::error::ControlError;
 use crate::control::identity::Identity;
 
-/// Reply to a proposal.
-pub type Proposed = oneshot::Sender<Result<CommandAnswer, ControlError>>;
+/// Channel for the result of a proposal.
+pub type ProposalReply = oneshot::Sender<Result<CommandAnswer, ControlError>>;
 
-/// What a driver is asked to do.
+/// An event for the driver of a replica.
 pub enum Event {
     /// A message of another replica.
     Message {
         /// The sender.
         from: ReplicaId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// A command for the state machine.
     Propose {
         /// The command.
         command: Box<Command>,
-        /// Gets the answer once it is committed and applied.
-        reply: Proposed,
+        /// Receives the answer once the command is committed and applied.
+        reply: ProposalReply,
     },
-    /// A change of the group.
+    /// A change of the group's membership.
     ChangeMembers {
         /// The new members.
         next: Membership,
-        /// Gets `Done` once it is committed.
-        reply: Proposed,
+        /// Receives `Done` once the change is committed.
+        reply: ProposalReply,
     },
     /// Makes a blank replica a member.
     Join {
         /// Its identity.
         identity: Identity,
-        /// The first voters; for a learner the members that it can answer.
+        /// The initial voters; for a learner, the members that it can answer.
         voters: Vec<(ReplicaId, String)>,
-        /// Gets the result.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), ControlError>>,
     },
-    /// Hands the leadership to another voter, for a planned stop.
-    HandOver,
+    /// Transfers the leadership to another voter before a planned stop.
+    TransferLeadership,
     /// Ends the driver.
     Stop,
 }
--- a/crates/coursestand-daemon/src/control/exchange.rs
+++ b/crates/coursestand-daemon/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! Answers daemons and other replicas.
+//! Handles requests of daemons and of other replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 use crate::control::handle::ControlHandle;
 use crate::control::peers::Envelope;
 
-/// Answers requests with the state of one replica.
+/// Handles requests with the state of one replica.
 pub struct ControlExchange {
     control: Arc<ControlHandle>,
 }
 
 impl ControlExchange {
-    /// Answers for this replica.
+    /// Returns a handler for the replica behind `control`.
     pub fn new(control: Arc<ControlHandle>) -> ControlExchange {
         ControlExchange { control }
     }
 
-    /// Where the leader may be.
+    /// Returns a redirect to the last known leader.
     fn not_leader(&self) -> ControlReply {
         let leader = self.control.shared.status().leader;
         let address = leader.and_then(|leader| {
@@ -38,13 +38,13 @@
 
     async fn follow(&self, request: FollowRequest) -> ControlReply {
         let mut versions = self.control.shared.versions();
-        let hold = tokio::time::sleep(Duration::from_millis(MAX_POLL_WAIT_MS));
-        tokio::pin!(hold);
+        let poll_timeout = tokio::time::sleep(Duration::from_millis(MAX_POLL_WAIT_MS));
+        tokio::pin!(poll_timeout);
         if request.phase == MemberPhase::Gone {
             return self.end_follower(&request);
         }
-        self.note_arrival(&request);
-        if self.waits_for_news_of(&request) {
+        self.record_poll(&request);
+        if self.affects_duties(&request) {
             self.control.duties.notify_one();
         }
         loop {
@@ -56,7 +56,7 @@
                 break;
             }
             tokio::select! {
-                () = &mut hold => break,
+                () = &mut poll_timeout => break,
                 changed = versions.changed() => {
                     if changed.is_err() {
                         return self.not_leader();
@@ -67,16 +67,17 @@
         self.answer_follower(&request)
     }
 
-    fn note_arrival(&self, request: &FollowRequest) {
+    fn record_poll(&self, request: &FollowRequest) {
         if let Some((mut guard, _)) = self.control.tenure()
             && let Some(tenure) = guard.as_mut()
         {
-            tenure.note_arrival(request);
+            tenure.record_poll(request);
         }
     }
 
-    /// Whether the leader's duties can go on with what this request says.
-    fn waits_for_news_of(&self, request: &FollowRequest) -> bool {
+    /// Whether this request may unblock a duty of the leader: it changes the membership, or
+    /// moves or slot releases wait for confirmations.
+    fn affects_duties(&self, request: &FollowRequest) -> bool {
         let state = self.control.shared.state();
         let known = state
             .tables()
@@ -95,7 +96,7 @@
             return self.not_leader();
         };
         if let Some(tenure) = guard.as_mut() {
-            tenure.note_follower(request);
+            tenure.record_follower(request);
         }
         drop(guard);
         self.control.duties.notify_one();
@@ -116,7 +117,7 @@
             return ControlReply::Refused("the daemon's slots are being freed".to_owned());
         }
         let delta = self.control.shared.delta(request.have, &request.daemon);
-        tenure.note_follower(request);
+        tenure.record_follower(request);
         tenure
             .registry
             .grant(now, &request.daemon, request.progress, delta.version);
@@ -127,11 +128,11 @@
         let Some((mut guard, now)) = self.control.tenure() else {
             return self.not_leader();
         };
-        let is_news = guard
+        let is_new = guard
             .as_mut()
-            .is_some_and(|tenure| tenure.note_report(now, request));
+            .is_some_and(|tenure| tenure.record_report(now, request));
         drop(guard);
-        if is_news {
+        if is_new {
             self.control.duties.notify_one();
         }
         ControlReply::Done
@@ -142,7 +143,9 @@
             Ok(CommandAnswer::Claim(answer)) => ControlReply::Claim(answer),
             Ok(CommandAnswer::Refused(reason)) => ControlReply::Refused(reason),
             Ok(_) => ControlReply::Done,
-            Err(ControlError::Lost) => ControlReply::Refused(ControlError::Lost.to_string()),
+            Err(ControlError::LeadershipLost) => {
+                ControlReply::Refused(ControlError::LeadershipLost.to_string())
+            }
             Err(_) => self.not_leader(),
         }
     }
@@ -151,9 +154,9 @@
         let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
             return ControlReply::Refused("a consensus message can't be decoded".to_owned());
         };
-        let own = self.control.shared.status().identity;
-        let is_for_us =
-            own.is_some_and(|own| own.cluster == envelope.cluster && own.replica == envelope.to);
+        let local = self.control.shared.status().identity;
+        let is_for_us = local
+            .is_some_and(|local| local.cluster == envelope.cluster && local.replica == envelope.to);
         if !is_for_us {
             return ControlReply::Refused("the message is for another replica".to_owned());
         }
--- a/crates/coursestand-daemon/src/control/handle.rs
+++ b/crates/coursestand-daemon/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which other parts use the replica of this process.
+//! The handle through which other services use the replica of this process.
 
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,7 @@
 
 /// Handle of the control replica for the other services.
 pub struct ControlHandle {
-    /// What the parts of the replica share.
+    /// State shared by the parts of the replica.
     pub shared: Arc<ControlShared>,
     /// Wakes the leader's duties.
     pub duties: Notify,
@@ -24,7 +24,7 @@
 }
 
 impl ControlHandle {
-    /// A handle of the driver that reads `events`.
+    /// Returns a handle to the driver that receives `events`.
     pub fn new(shared: Arc<ControlShared>, events: Sender<Event>) -> ControlHandle {
         ControlHandle {
             shared,
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Sends a message of another replica to the driver.
+    /// Sends an event to the driver.
     pub fn deliver(&self, event: Event) -> Result<(), ControlError> {
         self.events.send(event).map_err(|_| ControlError::Stopped)
     }
 
-    /// Proposes a command; returns once it is committed and applied here.
+    /// Proposes a command. Returns once it is committed and applied on this replica.
     pub async fn propose(&self, command: Command) -> Result<CommandAnswer, ControlError> {
         if self.shared.leading_term().is_none() {
             return Err(ControlError::NotLeader);
@@ -52,7 +52,7 @@
         answer.await.map_err(|_| ControlError::Stopped)?
     }
 
-    /// Proposes new members; returns once the change is committed.
+    /// Proposes a membership change. Returns once it is committed.
     pub async fn change_members(&self, next: Membership) -> Result<CommandAnswer, ControlError> {
         let (reply, answer) = oneshot::channel();
         self.deliver(Event::ChangeMembers { next, reply })?;
@@ -74,12 +74,12 @@
         answer.await.map_err(|_| ControlError::Stopped)?
     }
 
-    /// The tenure of the term in which this replica leads with a lease now, and
-    /// the time on its clock. A tenure of an earlier term is dropped.
+    /// Returns the tenure of the term in which this replica holds the leader lease, and the
+    /// current time on its clock. The tenure of an earlier term is dropped.
     pub fn tenure(&self) -> Option<(MutexGuard<'_, Option<Tenure>>, u64)> {
         let mut guard = self.tenure.lock().unwrap_or_else(PoisonError::into_inner);
-        // Time and lease are read under the lock, in this order: whatever is
-        // granted at this time is granted under this lease.
+        // Time and lease are read under the lock, in this order: all follower leases granted
+        // at this time are covered by this leader lease.
         let now = self.shared.clock.now();
         let term = self.shared.leading_term()?;
         let known = guard.as_ref().map(|tenure| tenure.term);
--- a/crates/coursestand-daemon/src/control/identity.rs
+++ b/crates/coursestand-daemon/src/control/identity.rs
@@ -1,5 +1,5 @@
-//! The identity of a replica, kept beside its log. A replica whose folder was
-//! lost has none, votes for nobody, and can only join again as another one.
+//! The identity of a replica, stored beside its log. A replica that lost its data folder has
+//! none, does not vote, and can only rejoin under another identity.
 
 use std::fs::File;
 use std::io::Write;
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
-use crate::control::error::{ControlError, IdentityFileSnafu, IdentityTextSnafu};
+use crate::control::error::{ControlError, IdentityFileSnafu, IdentityFormatSnafu};
 
-const FILE: &str = "identity.json";
+const FILE_NAME: &str = "identity.json";
 
-/// Which replica of which control group this is.
+/// Identifies a replica of a control group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
@@ -23,25 +23,25 @@
 }
 
 fn path_in(folder: &Path) -> PathBuf {
-    folder.join(FILE)
+    folder.join(FILE_NAME)
 }
 
-/// The identity in `folder`, if it has one.
+/// Reads the identity in `folder`, if there is one.
 pub fn read(folder: &Path) -> Result<Option<Identity>, ControlError> {
     let path = path_in(folder);
     if !path.exists() {
         return Ok(None);
     }
     let text = std::fs::read_to_string(&path).context(IdentityFileSnafu { path: &path })?;
-    let identity = serde_json::from_str(&text).context(IdentityTextSnafu { path })?;
+    let identity = serde_json::from_str(&text).context(IdentityFormatSnafu { path })?;
     Ok(Some(identity))
 }
 
-/// Writes the identity, synced, under its name only once it is whole.
+/// Writes and syncs the identity. The file gets its name only once it is complete.
 pub fn write(folder: &Path, identity: Identity) -> Result<(), ControlError> {
     let path = path_in(folder);
     let temporary = path.with_extension("tmp");
-    let text = serde_json::to_string(&identity).context(IdentityTextSnafu { path: &path })?;
+    let text = serde_json::to_string(&identity).context(IdentityFormatSnafu { path: &path })?;
     let written = File::create(&temporary)
         .and_then(|mut file| {
             file.write_all(text.as_bytes())?;
--- a/crates/coursestand-daemon/src/control/leader.rs
+++ b/crates/coursestand-daemon/src/control/leader.rs
@@ -1,6 +1,6 @@
-//! The duties of the leader: membership, the platform list, confirmations,
-//! traffic shares and slots. Every replica runs this; only the one that leads
-//! with a lease does anything, and the state machine checks what it proposes.
+//! The duties of the leader: membership, the platform list, confirmations, traffic shares
+//! and slots. Every replica runs these tasks; only the one with the leader lease acts, and
+//! the state machine validates its proposals.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,10 +21,10 @@
 use crate::names;
 
 const LOG: &str = "control";
-/// Time between two rounds of duties, when nothing asks for one earlier.
-const ROUND: Duration = Duration::from_millis(100);
-/// Time between two rounds at least.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Interval between rounds of duties unless one is requested earlier.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between rounds.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Runs the leader's duties.
 pub struct Leader {
@@ -33,7 +33,7 @@
 }
 
 impl Leader {
-    /// Duties with these settings.
+    /// Returns the duties with these settings.
     pub fn new(settings: ControlSettings) -> Leader {
         Leader {
             settings,
@@ -72,7 +72,7 @@
 }
 
 async fn watch_platform(control: Arc<ControlHandle>, client: PlatformClient, pause: Duration) {
-    let mut failing = false;
+    let mut is_failing = false;
     loop {
         tokio::time::sleep(pause).await;
         if control.shared.leading_term().is_none() {
@@ -80,15 +80,15 @@
         }
         match client.read().await {
             Ok(list) => {
-                failing = false;
-                let news = platform_news(&control, list.backends);
-                if !news.is_empty() {
-                    propose(&control, Command::UpdateBackends(news)).await;
+                is_failing = false;
+                let changed = changed_rows(&control, list.backends);
+                if !changed.is_empty() {
+                    propose(&control, Command::UpdateBackends(changed)).await;
                     control.duties.notify_one();
                 }
             }
-            Err(error) if !failing => {
-                failing = true;
+            Err(error) if !is_failing => {
+                is_failing = true;
                 warn!(target: LOG, "{error}");
             }
             Err(_) => {}
@@ -96,45 +96,45 @@
     }
 }
 
-/// Rows that tell something new.
-fn platform_news(control: &ControlHandle, rows: Vec<PlatformBackend>) -> Vec<PlatformBackend> {
+/// Returns the rows of the platform list that change the control state.
+fn changed_rows(control: &ControlHandle, rows: Vec<PlatformBackend>) -> Vec<PlatformBackend> {
     let state = control.shared.state();
     rows.into_iter()
         .filter(|row| {
             let Some(known) = state.tables().backends.get(&row.id) else {
                 return true;
             };
-            let newer = row.epoch > known.epoch;
-            let leaves = row.epoch == known.epoch && row.state > known.state;
-            let moved = row.epoch == known.epoch
+            let is_newer = row.epoch > known.epoch;
+            let is_leaving = row.epoch == known.epoch && row.state > known.state;
+            let has_moved = row.epoch == known.epoch
                 && (row.address != known.address || row.slots != known.slots);
-            newer || leaves || moved
+            is_newer || is_leaving || has_moved
         })
         .collect()
 }
 
 async fn run_duties(control: Arc<ControlHandle>) {
     loop {
-        // A notification or the end of the pause: either way a round follows.
-        let _ = tokio::time::timeout(ROUND, control.duties.notified()).await;
+        // A round follows whether the wait was notified or timed out.
+        let _ = tokio::time::timeout(ROUND_INTERVAL, control.duties.notified()).await;
         let started = Instant::now();
         if control.shared.leading_term().is_some() {
-            round(&control).await;
+            run_round(&control).await;
         }
         let spent = started.elapsed();
-        tokio::time::sleep(PAUSE.saturating_sub(spent)).await;
+        tokio::time::sleep(MIN_ROUND_INTERVAL.saturating_sub(spent)).await;
     }
 }
 
-async fn round(control: &ControlHandle) {
-    for make in [member_news, leaving_news, confirmations] {
-        if let Some(command) = make(control) {
+async fn run_round(control: &ControlHandle) {
+    for plan in [member_updates, leaving_updates, confirmations] {
+        if let Some(command) = plan(control) {
             propose(control, command).await;
         }
     }
     free_slots_of_ended_daemons(control).await;
-    for make in [next_shares, next_slots] {
-        if let Some(command) = make(control) {
+    for plan in [next_shares, next_slots] {
+        if let Some(command) = plan(control) {
             propose(control, command).await;
         }
     }
@@ -148,7 +148,7 @@
     };
     propose(control, Command::ForgetDaemons(ended.clone())).await;
     // A proposed command is lost only when the term ends, which drops the tenure. If the
-    // leader's lease has lapsed at this moment, the next round permits the leases again.
+    // leader's lease has expired at this moment, the next round permits leases again.
     if let Some((mut guard, _)) = control.tenure()
         && let Some(tenure) = guard.as_mut()
     {
@@ -159,41 +159,43 @@
 async fn propose(control: &ControlHandle, command: Command) {
     match control.propose(command).await {
         Ok(CommandAnswer::Refused(reason)) => {
-            warn!(target: LOG, "the state machine refused a change: {reason}");
+            warn!(target: LOG, "the state machine rejected a command: {reason}");
         }
         Ok(_) => {}
-        Err(error) => debug!(target: LOG, "a change was not committed: {error}"),
+        Err(error) => debug!(target: LOG, "a command was not committed: {error}"),
     }
 }
 
-fn member_news(control: &ControlHandle) -> Option<Command> {
+fn member_updates(control: &ControlHandle) -> Option<Command> {
     let (guard, now) = control.tenure()?;
     let state = control.shared.state();
-    let news = guard.as_ref()?.member_news(now, state.tables());
-    (!news.is_empty()).then_some(Command::UpdateMembers(news))
+    let updates = guard.as_ref()?.member_updates(now, state.tables());
+    (!updates.is_empty()).then_some(Command::UpdateMembers(updates))
 }
 
-fn leaving_news(control: &ControlHandle) -> Option<Command> {
+fn leaving_updates(control: &ControlHandle) -> Option<Command> {
     let leaving = {
         let (guard, now) = control.tenure()?;
-        guard.as_ref()?.leaving(now)
+        guard.as_ref()?.leaving_backends(now)
     };
     let state = control.shared.state();
-    let news: Vec<_> = leaving
+    let updates: Vec<_> = leaving
         .into_iter()
-        .filter(|news| {
+        .filter(|update| {
             state
                 .tables()
                 .backends
-                .get(&news.backend)
-                .is_some_and(|known| known.epoch == news.epoch && known.state == BackendState::Live)
+                .get(&update.backend)
+                .is_some_and(|known| {
+                    known.epoch == update.epoch && known.state == BackendState::Live
+                })
         })
         .collect();
-    (!news.is_empty()).then_some(Command::MarkLeaving(news))
+    (!updates.is_empty()).then_some(Command::MarkLeaving(updates))
 }
 
-/// Confirms what waits for it: moves that every daemon follows, and slots that
-/// their daemons no longer use.
+/// Confirms the moves that every daemon has applied, and the released slots that their
+/// daemons have stopped using.
 fn confirmations(control: &ControlHandle) -> Option<Command> {
     let (guard, now) = control.tenure()?;
     let tenure = guard.as_ref()?;
@@ -217,9 +219,9 @@
     (confirms_moves || !daemons.is_empty()).then_some(Command::Confirm { all, daemons })
 }
 
-/// Daemons that hold slots though their leases and requests have ended. They are
-/// refused a lease from now on, all others are not: rounds follow each other, so no
-/// earlier command is still on its way.
+/// Returns the daemons that hold slots although their leases and requests have ended. Only
+/// these are refused leases from this round on: rounds run one after the other, so no
+/// command of an earlier round is in flight.
 fn ended_daemons(control: &ControlHandle) -> Option<Vec<DaemonId>> {
     let (mut guard, now) = control.tenure()?;
     let tenure = guard.as_mut()?;
@@ -229,12 +231,12 @@
     let releasing = state.releases().iter().map(|release| &release.daemon);
     let mut ended: Vec<_> = holders
         .chain(releasing)
-        .filter(|daemon| tenure.is_over(now, daemon, grace))
+        .filter(|daemon| tenure.has_ended(now, daemon, grace))
         .cloned()
         .collect();
     ended.sort();
     ended.dedup();
-    tenure.forget_ended(now, grace);
+    tenure.remove_ended(now, grace);
     tenure.set_freeing_slots(&ended);
     (!ended.is_empty()).then_some(ended)
 }
@@ -242,7 +244,7 @@
 fn next_shares(control: &ControlHandle) -> Option<Command> {
     let down = {
         let (guard, now) = control.tenure()?;
-        guard.as_ref()?.down(now)
+        guard.as_ref()?.unreachable_backends(now)
     };
     let clock = control.shared.replicated_clock()?;
     let steps = plan_steps(&control.shared.state(), &down, clock);
@@ -253,7 +255,7 @@
     let (demand, down) = {
         let (guard, now) = control.tenure()?;
         let tenure = guard.as_ref()?;
-        (tenure.demand(now), tenure.down(now))
+        (tenure.demand(now), tenure.unreachable_backends(now))
     };
     let changes = plan_slots(&control.shared.state(), &demand, &down);
     (!changes.is_empty()).then_some(Command::AdjustSlots(changes))
--- a/crates/coursestand-daemon/src/control/log_writer.rs
+++ b/crates/coursestand-daemon/src/control/log_writer.rs
@@ -1,5 +1,5 @@
-//! Saves and syncs the log of a replica on a thread of its own, so that a slow disk does
-//! not hold up what needs none: answers to the leader, and the leader's heartbeats.
+//! Persists the log of a replica on a dedicated thread, so that a slow disk does not delay
+//! work without disk access: answers to the leader, and the leader's heartbeats.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread::JoinHandle;
@@ -10,24 +10,24 @@
 
 use crate::control::error::{ControlError, LogSnafu};
 
-/// What the storage is asked to do.
+/// An operation on the storage.
 pub enum Job {
-    /// Save a batch.
+    /// Saves a batch.
     Save(Batch),
-    /// Put a snapshot in the place of the entries that it covers.
+    /// Replaces the entries that a snapshot covers by the snapshot.
     Compact {
         /// The snapshot.
         snapshot: Snapshot,
         /// The hard state.
         hard_state: HardState,
-        /// The entries after it.
+        /// The entries after the snapshot.
         rest: Vec<Entry>,
     },
 }
 
-/// Storage with its thread. One job at a time.
+/// Runs storage jobs on a dedicated thread, one at a time.
 pub struct LogWriter {
-    /// Gone once the writer is dropped.
+    /// `None` once the writer is being dropped.
     jobs: Option<Sender<Job>>,
     results: Receiver<Result<(), StorageError>>,
     thread: Option<JoinHandle<()>>,
@@ -48,16 +48,16 @@
         })
     }
 
-    /// Begins a job; the one before has to be finished.
+    /// Starts a job. The previous one must have completed.
     pub fn begin(&self, job: Job) {
         if let Some(jobs) = &self.jobs {
-            // A thread that has ended gives no result: `wait` tells.
+            // If the thread has ended, `wait` returns an error.
             let _ = jobs.send(job);
         }
     }
 
-    /// Waits up to `limit` for the job to end. Returns its result, or `None` while it is
-    /// under way.
+    /// Waits up to `limit` for the job to complete. Returns its result, or `None` while it is
+    /// running.
     pub fn wait(&self, limit: Duration) -> Option<Result<(), ControlError>> {
         match self.results.recv_timeout(limit) {
             Ok(result) => Some(result.context(LogSnafu)),
@@ -88,11 +88,11 @@
 }
 
 impl Drop for LogWriter {
-    /// Returns once the storage is closed: its folder may be opened again.
+    /// Blocks until the storage is closed, so that its folder can be opened again.
     fn drop(&mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
-            // One that panicked has closed the storage as well.
+            // A panicked thread has closed the storage, too.
             let _ = thread.join();
         }
     }
--- a/crates/coursestand-daemon/src/control/operators.rs
+++ b/crates/coursestand-daemon/src/control/operators.rs
@@ -25,13 +25,13 @@
 use crate::control::shared::ReplicaStatus;
 use crate::names;
 
-const GRACE: Duration = Duration::from_secs(2);
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(2);
 
-/// Where a replica is reached by its peers.
+/// The address at which a replica is reached by its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaAddress {
-    /// Its identity.
+    /// The replica.
     pub replica: u64,
     /// Its control address.
     pub address: SocketAddr,
@@ -43,9 +43,9 @@
 pub struct JoinRequest {
     /// The control group.
     pub cluster: u64,
-    /// Identity that the replica takes for good.
+    /// Permanent identity of the replica.
     pub replica: u64,
-    /// All first voters; for a learner the members as they are, without it.
+    /// All initial voters; for a learner, the current members without the learner.
     pub voters: Vec<ReplicaAddress>,
 }
 
@@ -55,9 +55,9 @@
 pub struct SubmitBundle {
     /// The bundle with its sign-offs.
     pub bundle: SignedBundle,
-    /// Revision against which it was made.
+    /// Revision on which the bundle is based.
     pub expected_revision: u64,
-    /// Names the submit, so that it may be sent again.
+    /// Idempotency key with which the submission can be resent.
     pub submission: String,
 }
 
@@ -67,7 +67,7 @@
 pub struct SubmitOrder {
     /// The order with its sign-offs.
     pub order: SignedOrder,
-    /// Names the submit, so that it may be sent again.
+    /// Idempotency key with which the submission can be resent.
     pub submission: String,
 }
 
@@ -97,9 +97,9 @@
 pub struct ControlStatus {
     /// Control address of this replica.
     pub listen: SocketAddr,
-    /// Whether it leads with a lease now.
+    /// Whether the replica holds the leader lease.
     pub leads: bool,
-    /// The replica.
+    /// State of the replica.
     pub replica: ReplicaStatus,
     /// Current revision.
     pub revision: u64,
@@ -107,8 +107,8 @@
     pub version: u64,
     /// Whether the sign-off policy is set.
     pub initialized: bool,
-    /// Daemons with a lease and the version that each has confirmed; only the
-    /// leader knows.
+    /// Daemons with a lease and the version that each has confirmed; empty unless this
+    /// replica is the leader.
     pub daemons: Vec<DaemonStatus>,
 }
 
@@ -117,20 +117,20 @@
 pub struct DaemonStatus {
     /// Name of the daemon.
     pub name: String,
-    /// Version that it decides on.
+    /// Version of the tables on which it bases its decisions.
     pub confirmed: u64,
     /// Whether it has not confirmed the newest version.
     pub behind: bool,
 }
 
-/// Serves operators.
+/// The service that runs the operators' interface.
 pub struct Operators {
     settings: ControlSettings,
     server: Mutex<Option<Arc<HttpServer>>>,
 }
 
 impl Operators {
-    /// An interface with these settings.
+    /// Returns the interface with these settings, not started.
     pub fn new(settings: ControlSettings) -> Operators {
         Operators {
             settings,
@@ -161,9 +161,13 @@
             control,
             listen: self.settings.listen,
         });
-        let server = HttpServer::start(self.settings.operator_listen, routes(context), GRACE)
-            .await
-            .map_err(|error| failed(&error))?;
+        let server = HttpServer::start(
+            self.settings.operator_listen,
+            routes(context),
+            SHUTDOWN_GRACE,
+        )
+        .await
+        .map_err(|error| failed(&error))?;
         *self.server.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::new(server));
         Ok(())
     }
@@ -317,7 +321,7 @@
 
 #[handler]
 async fn post_members(context: Shared<'_>, change: Json<MemberChange>) -> Response {
-    // Only a leader knows how far the others are.
+    // Only the leader knows the progress of the other replicas.
     if context.control.shared.leading_term().is_none() {
         return error_response(&ControlError::NotLeader);
     }
@@ -356,7 +360,7 @@
     }
 }
 
-/// A learner may vote once it has everything that is committed.
+/// Whether a learner has every committed entry and may become a voter.
 fn has_caught_up(status: &ReplicaStatus, replica: u64) -> bool {
     status
         .members
@@ -369,8 +373,8 @@
 fn error_response(error: &ControlError) -> Response {
     let status = match error {
         ControlError::NotLeader | ControlError::Propose { .. } => StatusCode::MISDIRECTED_REQUEST,
-        ControlError::Joined { .. } => StatusCode::CONFLICT,
-        ControlError::Lost | ControlError::Stopped | ControlError::NotJoined => {
+        ControlError::AlreadyJoined { .. } => StatusCode::CONFLICT,
+        ControlError::LeadershipLost | ControlError::Stopped | ControlError::NotJoined => {
             StatusCode::SERVICE_UNAVAILABLE
         }
         _ => StatusCode::INTERNAL_SERVER_ERROR,
--- a/crates/coursestand-daemon/src/control/peers.rs
+++ b/crates/coursestand-daemon/src/control/peers.rs
@@ -15,13 +15,13 @@
 use tokio::sync::Semaphore;
 
 const LOG: &str = "consensus";
-/// Messages to one replica under way at the same time; more are dropped, which
-/// the consensus core makes good like any other loss.
-const MAX_UNDER_WAY: usize = 64;
-const DEADLINE: Duration = Duration::from_secs(2);
+/// Maximum number of messages in flight to one replica. Further messages are dropped; the
+/// consensus core recovers from this as from any other loss.
+const MAX_IN_FLIGHT: usize = 64;
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A consensus message with its group, sender and receiver. A replica that took
-/// the address of another one drops what is not for it.
+/// A consensus message with its group, sender and receiver. A replica that reuses the
+/// address of another one rejects messages for that replica.
 #[derive(Serialize, Deserialize)]
 pub struct Envelope {
     /// The control group.
@@ -36,11 +36,11 @@
 
 struct Peer {
     client: Arc<Client<ControlRequest, ControlReply>>,
-    under_way: Arc<Semaphore>,
+    in_flight: Arc<Semaphore>,
 }
 
-/// Sends consensus messages to other replicas without waiting. What is lost on
-/// the way is made good by the consensus core.
+/// Sends consensus messages to other replicas without blocking. The consensus core recovers
+/// from lost messages.
 pub trait PeerSender: Send {
     /// Sends messages of the replica `from` to the addresses in `membership`.
     fn send(
@@ -52,7 +52,7 @@
     );
 }
 
-/// Encodes each message for its receiver's address.
+/// Encodes each message with its envelope, and pairs it with the receiver's address.
 pub fn envelopes(
     cluster: u64,
     from: ReplicaId,
@@ -82,15 +82,15 @@
     encoded
 }
 
-/// Connections to the other replicas over the messaging library, made when first
-/// needed.
+/// Sends consensus messages through the messaging library. Connections are opened on first
+/// use.
 pub struct Peers {
     runtime: Handle,
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
 impl Peers {
-    /// No connections yet; sends on `runtime`.
+    /// Returns a sender without connections that sends on `runtime`.
     pub fn new(runtime: Handle) -> Peers {
         Peers {
             runtime,
@@ -98,13 +98,13 @@
         }
     }
 
-    fn send_one(&mut self, address: SocketAddr, bytes: Vec<u8>) {
+    fn send_to(&mut self, address: SocketAddr, bytes: Vec<u8>) {
         let peer = match self.peers.entry(address) {
             Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(place) => match Client::new(address) {
-                Ok(client) => place.insert(Peer {
+            Entry::Vacant(vacant) => match Client::new(address) {
+                Ok(client) => vacant.insert(Peer {
                     client: Arc::new(client),
-                    under_way: Arc::new(Semaphore::new(MAX_UNDER_WAY)),
+                    in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT)),
                 }),
                 Err(error) => {
                     warn!(target: LOG, "no connection to {address}: {error}");
@@ -112,13 +112,13 @@
                 }
             },
         };
-        let Ok(permit) = Arc::clone(&peer.under_way).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&peer.in_flight).try_acquire_owned() else {
             return;
         };
         let client = Arc::clone(&peer.client);
         self.runtime.spawn(async move {
             let request = ControlRequest::Consensus(bytes);
-            if let Err(error) = client.exchange(&request, DEADLINE).await {
+            if let Err(error) = client.exchange(&request, SEND_TIMEOUT).await {
                 debug!(target: LOG, "a message was lost: {error}");
             }
             drop(permit);
@@ -135,7 +135,7 @@
         messages: Vec<(ReplicaId, Message)>,
     ) {
         for (address, bytes) in envelopes(cluster, from, membership, messages) {
-            self.send_one(address, bytes);
+            self.send_to(address, bytes);
         }
     }
 }
--- a/crates/coursestand-daemon/src/control/platform.rs
+++ b/crates/coursestand-daemon/src/control/platform.rs
@@ -1,4 +1,4 @@
-//! The edge towards the platform list.
+//! HTTP client for the platform list.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why the list could not be read.
+/// Errors of reading the platform list.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The platform does not answer.
+    /// The request failed.
     #[snafu(display("the platform list can't be read: {source}"))]
-    NoAnswer {
+    Request {
         /// Cause.
         source: reqwest::Error,
     },
-    /// The answer is not a platform list.
-    #[snafu(display("the platform list is refused: {source}"))]
-    Refused {
+    /// The response is not a valid platform list.
+    #[snafu(display("the platform list is invalid: {source}"))]
+    Invalid {
         /// Cause.
         source: LoadError,
     },
@@ -33,29 +33,29 @@
 }
 
 impl PlatformClient {
-    /// Reads the list at `url`.
+    /// Returns a client for the list at `url`.
     pub fn new(url: &str) -> Result<PlatformClient, PlatformError> {
         let client = reqwest::Client::builder()
             .timeout(TIMEOUT)
             .no_proxy()
             .build()
-            .context(NoAnswerSnafu)?;
+            .context(RequestSnafu)?;
         Ok(PlatformClient {
             client,
             url: url.to_owned(),
         })
     }
 
-    /// The list as it is now.
+    /// Fetches the list.
     pub async fn read(&self) -> Result<PlatformList, PlatformError> {
-        let answer = self
+        let response = self
             .client
             .get(&self.url)
             .send()
             .await
             .and_then(reqwest::Response::error_for_status)
-            .context(NoAnswerSnafu)?;
-        let text = answer.text().await.context(NoAnswerSnafu)?;
-        parse(&self.url, &text).context(RefusedSnafu)
+            .context(RequestSnafu)?;
+        let text = response.text().await.context(RequestSnafu)?;
+        parse(&self.url, &text).context(InvalidSnafu)
     }
 }
--- a/crates/coursestand-daemon/src/control/proposals.rs
+++ b/crates/coursestand-daemon/src/control/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals from when they are made until their proposers are answered.
+//! Tracks proposals until their proposers are answered.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 use coursestand_coordination::CommandAnswer;
 
 use crate::control::error::ControlError;
-use crate::control::event::Proposed;
+use crate::control::event::ProposalReply;
 
-/// The proposals of one replica that are not answered yet.
+/// The unanswered proposals of one replica.
 #[derive(Default)]
 pub(crate) struct Proposals {
-    /// Not committed yet, with the term in which they were made.
-    waiting: BTreeMap<LogIndex, (Term, Proposed)>,
-    /// Committed, and not yet on enough disks.
-    held: Vec<HeldAnswer>,
-    /// To be told to their proposers.
-    due: Vec<(Proposed, Result<CommandAnswer, ControlError>)>,
+    /// Uncommitted proposals, with the term in which they were made.
+    waiting: BTreeMap<LogIndex, (Term, ProposalReply)>,
+    /// Answers to committed commands that are on too few disks.
+    withheld: Vec<WithheldAnswer>,
+    /// Answers that can be sent to their proposers.
+    ready: Vec<(ProposalReply, Result<CommandAnswer, ControlError>)>,
 }
 
 /// The answer to a committed command.
-struct HeldAnswer {
+struct WithheldAnswer {
     index: LogIndex,
-    reply: Proposed,
+    reply: ProposalReply,
     answer: CommandAnswer,
 }
 
 impl Proposals {
-    /// A proposal was made at this index.
-    pub(crate) fn add(&mut self, index: LogIndex, term: Term, reply: Proposed) {
+    /// Adds a proposal at this index.
+    pub(crate) fn add(&mut self, index: LogIndex, term: Term, reply: ProposalReply) {
         self.waiting.insert(index, (term, reply));
     }
 
-    /// An entry was applied with this answer, which [`Self::answer`] tells; with
-    /// `needs_more_copies`, [`Self::release`] does.
-    pub(crate) fn applied(
+    /// Records the answer of an applied entry. [`Self::send_ready`] sends it, or
+    /// [`Self::send_replicated`] if `needs_more_copies` is set.
+    pub(crate) fn record_applied(
         &mut self,
         index: LogIndex,
         term: Term,
@@ -46,53 +46,59 @@
             return;
         };
         if proposed_in != term {
-            // Another entry at this place: ours was lost with our leadership.
-            self.due.push((reply, Err(ControlError::Lost)));
+            // A later leader replaced the proposed entry by another one.
+            self.ready.push((reply, Err(ControlError::LeadershipLost)));
         } else if needs_more_copies {
-            self.held.push(HeldAnswer {
+            self.withheld.push(WithheldAnswer {
                 index,
                 reply,
                 answer,
             });
         } else {
-            self.due.push((reply, Ok(answer)));
+            self.ready.push((reply, Ok(answer)));
         }
     }
 
-    /// Answers the proposers of what was applied; called once others can see it.
-    pub(crate) fn answer(&mut self) {
-        for (reply, result) in std::mem::take(&mut self.due) {
+    /// Sends the answers of applied entries. Called once the applied state is visible to
+    /// readers.
+    pub(crate) fn send_ready(&mut self) {
+        for (reply, result) in std::mem::take(&mut self.ready) {
             let _ = reply.send(result);
         }
     }
 
     /// Answers the proposers whose commands are on `min_copies` synced disks.
-    pub(crate) fn release(&mut self, progress: &BTreeMap<ReplicaId, Progress>, min_copies: usize) {
-        // What was applied here is synced here.
+    pub(crate) fn send_replicated(
+        &mut self,
+        progress: &BTreeMap<ReplicaId, Progress>,
+        min_copies: usize,
+    ) {
+        // Entries that are applied on this replica are synced on its disk.
         let copies_of = |index: LogIndex| {
             1 + progress
                 .values()
                 .filter(|progress| progress.matched >= index)
                 .count()
         };
-        let (ready, held): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held)
+        let (ready, withheld): (Vec<_>, Vec<_>) = std::mem::take(&mut self.withheld)
             .into_iter()
-            .partition(|held| copies_of(held.index) >= min_copies);
-        self.held = held;
-        for one in ready {
-            let _ = one.reply.send(Ok(one.answer));
+            .partition(|withheld| copies_of(withheld.index) >= min_copies);
+        self.withheld = withheld;
+        for replicated in ready {
+            let _ = replicated.reply.send(Ok(replicated.answer));
         }
     }
 
-    /// The replica leads no longer: nothing is known of what it proposed.
-    pub(crate) fn lose_all(&mut self) {
+    /// Fails all proposals. Called when the replica is not the leader: the outcome of its
+    /// proposals is unknown.
+    pub(crate) fn fail_all(&mut self) {
         let waiting = std::mem::take(&mut self.waiting).into_values();
-        let held = std::mem::take(&mut self.held).into_iter();
+        let withheld = std::mem::take(&mut self.withheld).into_iter();
         let replies = waiting
             .map(|(_, reply)| reply)
-            .chain(held.map(|held| held.reply));
+            .chain(withheld.map(|withheld| withheld.reply));
         for reply in replies {
-            let _ = reply.send(Err(ControlError::Lost));
+            let _ = reply.send(Err(ControlError::LeadershipLost));
         }
     }
 }
--- a/crates/coursestand-daemon/src/control/replica.rs
+++ b/crates/coursestand-daemon/src/control/replica.rs
@@ -1,5 +1,5 @@
-//! The control service: opens the log, runs the driver and listens for daemons
-//! and other replicas.
+//! The control service: opens the log, runs the driver and serves daemons and other
+//! replicas.
 
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,14 +20,15 @@
 use crate::control::shared::ControlShared;
 use crate::names;
 
-/// Exchanges at the same time: each follower holds one. A replica with this many
-/// is 3 MB larger than a daemon without the role (see `docs/CAPACITY.md`).
-const EXCHANGES: usize = 2_048;
+/// Maximum number of concurrent exchanges. Each follower occupies one with its long poll.
+/// A replica with this many uses 3 MB more memory than a daemon without the control role
+/// (see `docs/CAPACITY.md`).
+const MAX_EXCHANGES: usize = 2_048;
 
-/// Copies of a command besides what makes a majority.
-const MAJORITY_IS_ENOUGH: usize = 0;
+/// Required copies of a command when a majority suffices.
+const NO_MIN_COPIES: usize = 0;
 
-/// Runs a replica of the control group.
+/// The service that runs a replica of the control group.
 pub struct ControlReplica {
     settings: ControlSettings,
     clock: MonotonicClock,
@@ -41,7 +42,7 @@
 }
 
 impl ControlReplica {
-    /// A replica with these settings.
+    /// Returns a replica with these settings, not started.
     pub fn new(settings: ControlSettings, clock: MonotonicClock) -> ControlReplica {
         ControlReplica {
             settings,
@@ -74,7 +75,7 @@
             shared,
             Box::new(Peers::new(Handle::current())),
             self.settings.data_folder.clone(),
-            MAJORITY_IS_ENOUGH,
+            NO_MIN_COPIES,
         )
         .map_err(|error| failed(&error))?;
         let thread = std::thread::Builder::new()
@@ -82,7 +83,7 @@
             .spawn(move || driver.run(&incoming))
             .map_err(|error| failed(&error))?;
         let exchange = Arc::new(ControlExchange::new(Arc::clone(&handle)));
-        let server = Server::start(self.settings.listen, EXCHANGES, exchange)
+        let server = Server::start(self.settings.listen, MAX_EXCHANGES, exchange)
             .map_err(|error| failed(&error))?;
         registry.publish(names::CONTROL, Arc::clone(&handle));
         *self.handle.lock().unwrap_or_else(PoisonError::into_inner) = Some(handle);
@@ -93,17 +94,19 @@
         Ok(())
     }
 
-    /// A leader hands its leadership over before it stops.
+    /// Transfers the leadership to another voter before the replica stops.
     async fn drain(&self) {
-        const LONGEST: std::time::Duration = std::time::Duration::from_secs(2);
-        const LOOK: std::time::Duration = std::time::Duration::from_millis(20);
+        const MAX_TRANSFER_TIME: std::time::Duration = std::time::Duration::from_secs(2);
+        const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
         let Some(handle) = self.handle() else {
             return;
         };
         let started = std::time::Instant::now();
-        if handle.shared.leading_term().is_some() && handle.deliver(Event::HandOver).is_ok() {
-            while handle.shared.status().role == "leader" && started.elapsed() < LONGEST {
-                tokio::time::sleep(LOOK).await;
+        if handle.shared.leading_term().is_some()
+            && handle.deliver(Event::TransferLeadership).is_ok()
+        {
+            while handle.shared.status().role == "leader" && started.elapsed() < MAX_TRANSFER_TIME {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -119,7 +122,7 @@
         };
         running.server.stop();
         if let Some(handle) = self.handle() {
-            // A driver that stopped by itself takes no events.
+            // Fails if the driver has already stopped.
             let _ = handle.deliver(Event::Stop);
         }
         let joined = tokio::task::spawn_blocking(move || running.driver.join());
--- a/crates/coursestand-daemon/src/control/shared.rs
+++ b/crates/coursestand-daemon/src/control/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a control replica share.
+//! State shared by the parts of a control replica.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,11 +14,11 @@
 use crate::control::identity::Identity;
 use crate::fleet::catalog_news::CatalogNews;
 
-/// What a replica says of itself.
+/// Status of a replica.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ReplicaStatus {
-    /// Its identity, once it joined.
-    pub identity: Option<IdentityText>,
+    /// Its identity, once it has joined a group.
+    pub identity: Option<IdentityStatus>,
     /// Current term.
     pub term: u64,
     /// `leader`, `follower`, `candidate`, `blank` or `failed`.
@@ -33,29 +33,29 @@
     pub snapshot: u64,
     /// Members of the group.
     pub members: Vec<MemberStatus>,
-    /// Why the replica stopped, if it did.
+    /// Why the replica stopped, if it failed.
     pub failure: Option<String>,
 }
 
-/// An identity for people.
+/// A replica's identity as operators see it.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
-pub struct IdentityText {
+pub struct IdentityStatus {
     /// The control group.
     pub cluster: u64,
     /// The replica.
     pub replica: u64,
 }
 
-impl From<Identity> for IdentityText {
+impl From<Identity> for IdentityStatus {
     fn from(identity: Identity) -> Self {
-        IdentityText {
+        IdentityStatus {
             cluster: identity.cluster,
             replica: identity.replica,
         }
     }
 }
 
-/// A member of the group as a leader sees it.
+/// A member of the group as the replica sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberStatus {
     /// Its identity.
@@ -64,41 +64,41 @@
     pub address: String,
     /// Whether it votes.
     pub voter: bool,
-    /// Last index known to be there; only a leader knows.
+    /// Last index known to match the leader's log; set on the leader only.
     pub matched: Option<u64>,
-    /// Milliseconds since it was heard; only a leader knows.
+    /// Milliseconds since its last message; set on the leader only.
     pub silent_ms: Option<u64>,
 }
 
-/// How far a voter's log reaches.
+/// The extent of a voter's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct LogReach {
-    /// Last index on the synced disk. Raised before the replica tells the leader of
-    /// it, so that what was acknowledged with its help is never above.
+pub struct LogExtent {
+    /// Last index that is synced to disk. Raised before the replica acknowledges it to the
+    /// leader, so that no entry that it helped to commit lies above.
     pub end: LogIndex,
-    /// Last index that the applied state holds.
+    /// Last index that the applied state includes.
     pub applied: LogIndex,
 }
 
-/// The replicated clock as a leader moves it: from its value in the log when the
-/// replica began to lead, by the clock of the process.
+/// The replicated clock as the leader advances it: it starts with its value in the log when
+/// the replica becomes leader, and advances with the clock of the process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeadingClock {
-    /// The replicated clock when this replica began to lead.
+    /// The replicated clock when this replica became leader.
     replicated: Millis,
     /// The clock of the process at that moment.
-    own: Millis,
+    local: Millis,
 }
 
 impl LeadingClock {
-    /// Begins to move the clock from `replicated` at `own`.
-    pub(crate) fn new(replicated: Millis, own: Millis) -> LeadingClock {
-        LeadingClock { replicated, own }
+    /// Returns a clock that shows `replicated` when the clock of the process shows `local`.
+    pub(crate) fn new(replicated: Millis, local: Millis) -> LeadingClock {
+        LeadingClock { replicated, local }
     }
 
-    /// The replicated clock when the clock of the process shows `now`.
+    /// Returns the replicated clock at `now` on the clock of the process.
     pub(crate) fn at(self, now: Millis) -> Millis {
-        self.replicated + now.saturating_sub(self.own)
+        self.replicated + now.saturating_sub(self.local)
     }
 }
 
@@ -108,23 +108,23 @@
     pub clock: MonotonicClock,
     state: RwLock<ControlState>,
     status: RwLock<ReplicaStatus>,
-    /// Members, and the log index that made them so.
+    /// Members, and the log index of the change that made them current.
     membership: RwLock<(LogIndex, Membership)>,
     leading_clock: RwLock<Option<LeadingClock>>,
     lease_end: AtomicU64,
     term: AtomicU64,
-    log_reach: Mutex<Option<LogReach>>,
+    log_extent: Mutex<Option<LogExtent>>,
     version: watch::Sender<ControlVersion>,
     catalog_version: watch::Sender<ControlVersion>,
-    /// The newest delta for each version that followers asked from. Nearly all
-    /// ask from the same one, and the driver must not wait for each to read.
+    /// The newest delta by the version that it starts from. Most followers request the same
+    /// one, and reading it for each of them would block the driver.
     deltas: Mutex<HashMap<ControlVersion, Arc<Delta>>>,
-    /// Changes of the catalog that are ready for entry daemons.
+    /// Encoded changes of the catalog for entry daemons.
     catalog_news: CatalogNews,
 }
 
 impl ControlShared {
-    /// State of a replica that knows nothing yet.
+    /// Returns the state of a blank replica.
     pub fn new(clock: MonotonicClock) -> ControlShared {
         ControlShared {
             clock,
@@ -134,7 +134,7 @@
             leading_clock: RwLock::default(),
             lease_end: AtomicU64::new(0),
             term: AtomicU64::new(0),
-            log_reach: Mutex::default(),
+            log_extent: Mutex::default(),
             version: watch::Sender::new(0),
             catalog_version: watch::Sender::new(0),
             deltas: Mutex::default(),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The applied control state.
+    /// Returns the applied control state.
     pub fn state(&self) -> RwLockReadGuard<'_, ControlState> {
         self.state.read().unwrap_or_else(PoisonError::into_inner)
     }
@@ -151,7 +151,7 @@
         self.state.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the replica says of itself.
+    /// Returns the status of the replica.
     pub fn status(&self) -> ReplicaStatus {
         self.status
             .read()
@@ -163,12 +163,13 @@
         *self.status.write().unwrap_or_else(PoisonError::into_inner) = status;
     }
 
-    /// Members of the group.
+    /// Returns the members of the group.
     pub fn membership(&self) -> Membership {
         self.membership_and_index().1
     }
 
-    /// Members of the group, and the log index of the change that made them so.
+    /// Returns the members of the group, and the log index of the change that made them
+    /// current.
     pub fn membership_and_index(&self) -> (LogIndex, Membership) {
         self.membership
             .read()
@@ -183,23 +184,23 @@
             .unwrap_or_else(PoisonError::into_inner) = (index, membership);
     }
 
-    /// How far this replica's log reaches; `None` unless it is a voter by its own log.
-    /// One that lost its disk knows nothing of what its predecessor acknowledged.
-    pub fn log_reach(&self) -> Option<LogReach> {
+    /// Returns the extent of this replica's log, or `None` unless it is a voter by its own
+    /// log: a replica that lost its disk doesn't know what its predecessor acknowledged.
+    pub fn log_extent(&self) -> Option<LogExtent> {
         *self
-            .log_reach
+            .log_extent
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn set_log_reach(&self, reach: Option<LogReach>) {
+    pub(crate) fn set_log_extent(&self, reach: Option<LogExtent>) {
         *self
-            .log_reach
+            .log_extent
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = reach;
     }
 
-    /// The clock that this replica moves while it leads.
+    /// Returns the clock that this replica advances, or `None` unless it leads.
     pub(crate) fn leading_clock(&self) -> Option<LeadingClock> {
         *self
             .leading_clock
@@ -214,30 +215,30 @@
             .unwrap_or_else(PoisonError::into_inner) = clock;
     }
 
-    /// The replicated clock that a command proposed now would be stamped with, or
+    /// Returns the replicated clock with which a command is stamped at this moment, or
     /// `None` while this replica doesn't lead.
     pub fn replicated_clock(&self) -> Option<Millis> {
         let now = self.clock.now();
         self.leading_clock().map(|clock| clock.at(now))
     }
 
-    /// Publishes the leader lease: the term first, so that whoever sees the
-    /// lease sees its term or a later one.
+    /// Publishes the leader lease: the term first, so that a reader that sees the lease sees
+    /// its term or a later one.
     pub(crate) fn set_lease(&self, term: u64, end: Option<Millis>) {
         self.term.store(term, Ordering::SeqCst);
         self.lease_end.store(end.unwrap_or(0), Ordering::SeqCst);
     }
 
-    /// The term in which this replica leads with a lease at this moment. The
-    /// lease is read on the clock, so a process that was frozen sees that it has
-    /// ended, whatever was published before.
+    /// Returns the term in which this replica holds the leader lease at this moment. The
+    /// lease is compared with the clock, so a process that was suspended sees that it has
+    /// expired even before the driver runs again.
     pub fn leading_term(&self) -> Option<u64> {
         let end = self.lease_end.load(Ordering::SeqCst);
         let term = self.term.load(Ordering::SeqCst);
         (self.clock.now() < end).then_some(term)
     }
 
-    /// The rows that changed after `since`, as `daemon` needs them.
+    /// Returns the rows that changed after `since`, with the slots of `daemon`.
     pub fn delta(&self, since: ControlVersion, daemon: &DaemonId) -> Delta {
         let mut deltas = self.deltas.lock().unwrap_or_else(PoisonError::into_inner);
         let state = self.state();
@@ -256,33 +257,33 @@
         common.with_slots(slots)
     }
 
-    /// Changes of the catalog that are ready for entry daemons.
+    /// Returns the encoded changes of the catalog for entry daemons.
     pub fn catalog_news(&self) -> &CatalogNews {
         &self.catalog_news
     }
 
-    /// Tells of new versions of the followers' tables.
+    /// Subscribes to versions of the followers' tables.
     pub fn versions(&self) -> watch::Receiver<ControlVersion> {
         self.version.subscribe()
     }
 
-    /// Tells of new versions of the catalog.
+    /// Subscribes to versions of the catalog.
     pub fn catalog_versions(&self) -> watch::Receiver<ControlVersion> {
         self.catalog_version.subscribe()
     }
 
-    /// Tells those who wait of the versions of the applied state.
-    pub(crate) fn announce_versions(&self) {
+    /// Publishes the versions of the applied state to the subscribers.
+    pub(crate) fn publish_versions(&self) {
         let (tables, catalog) = {
             let state = self.state();
             (state.tables().version, state.catalog().version())
         };
-        announce(&self.version, tables);
-        announce(&self.catalog_version, catalog);
+        publish(&self.version, tables);
+        publish(&self.catalog_version, catalog);
     }
 }
 
-fn announce(sender: &watch::Sender<ControlVersion>, version: ControlVersion) {
+fn publish(sender: &watch::Sender<ControlVersion>, version: ControlVersion) {
     sender.send_if_modified(|known| {
         let changed = *known != version;
         *known = version;
--- a/crates/coursestand-daemon/src/control/status.rs
+++ b/crates/coursestand-daemon/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What a replica says of itself, read off its consensus core.
+//! Derives the status of a replica from its consensus core.
 
 use coursestand_consensus::{Replica, Role};
 use coursestand_model::Millis;
@@ -6,7 +6,7 @@
 use crate::control::identity::Identity;
 use crate::control::shared::{MemberStatus, ReplicaStatus};
 
-/// The status of a replica that has joined a group.
+/// Returns the status of a replica that has joined a group.
 pub fn status_of(identity: Identity, replica: &Replica, now: Millis) -> ReplicaStatus {
     let role = match replica.role() {
         Role::Leader(_) => "leader",
--- a/crates/coursestand-daemon/src/control/tenure.rs
+++ b/crates/coursestand-daemon/src/control/tenure.rs
@@ -1,5 +1,5 @@
-//! What a leader learns from daemons while it leads. A new leader starts with
-//! nothing and waits until leases of its predecessor have ended.
+//! The state that a leader collects from daemons during one term. A new leader starts with
+//! empty state and waits until all leases of its predecessor have expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +10,21 @@
 use coursestand_coordination::wire::{FollowRequest, ReportRequest};
 use coursestand_model::{BackendId, DaemonId, Millis};
 
-/// Reports older than this are not heeded.
+/// Reports older than this are ignored.
 const REPORT_LIFETIME_MS: Millis = 4_000;
 
 struct Report {
-    at: Millis,
+    received_at: Millis,
     request: ReportRequest,
 }
 
-/// What the leader of one term knows of the daemons.
+/// State of the daemons as the leader of one term sees it.
 pub struct Tenure {
     /// The term.
     pub term: u64,
-    /// Leases of the daemons.
+    /// Leases and progress of the daemons.
     pub registry: FollowerRegistry,
-    seen: BTreeMap<DaemonId, Member>,
+    observed: BTreeMap<DaemonId, Member>,
     stopped: BTreeSet<DaemonId>,
     /// Daemons whose slots are being freed by a proposed command.
     freeing_slots: BTreeSet<DaemonId>,
@@ -32,20 +32,20 @@
 }
 
 impl Tenure {
-    /// The tenure of the leader of `term` that begins at `now`.
+    /// Returns the state of a leader whose term `term` begins at `now`.
     pub fn new(term: u64, now: Millis) -> Tenure {
         Tenure {
             term,
             registry: FollowerRegistry::new(now),
-            seen: BTreeMap::new(),
+            observed: BTreeMap::new(),
             stopped: BTreeSet::new(),
             freeing_slots: BTreeSet::new(),
             reports: BTreeMap::new(),
         }
     }
 
-    /// Notes what a daemon says of itself.
-    pub fn note_follower(&mut self, request: &FollowRequest) {
+    /// Records the membership state that a daemon reports of itself.
+    pub fn record_follower(&mut self, request: &FollowRequest) {
         let member = Member {
             incarnation: request.daemon.incarnation,
             zone: request.zone.clone(),
@@ -53,35 +53,35 @@
             phase: request.phase,
         };
         if request.phase == MemberPhase::Gone {
-            // It has stopped deciding and nothing of it is in flight.
+            // The daemon has stopped routing and has no requests in flight.
             self.registry.end_lease(&request.daemon);
             self.stopped.insert(request.daemon.clone());
         }
-        // A request that was held may be older than one answered before it.
-        let seen = self.seen.get(&request.daemon);
-        if seen.is_none_or(|seen| seen.is_superseded_by(&member)) {
-            self.seen.insert(request.daemon.clone(), member);
+        // A long poll may be older than a request that was answered before it.
+        let observed = self.observed.get(&request.daemon);
+        if observed.is_none_or(|observed| observed.is_superseded_by(&member)) {
+            self.observed.insert(request.daemon.clone(), member);
         }
     }
 
-    /// Notes a request for news as it arrives: what it says counts from now on,
-    /// however long the request is then held. A daemon without a lease is noted
-    /// when it is granted one.
-    pub fn note_arrival(&mut self, request: &FollowRequest) {
+    /// Records a long poll on arrival: its progress and phase count immediately, not only
+    /// when the poll is answered. A daemon without a lease is recorded when it is granted
+    /// one.
+    pub fn record_poll(&mut self, request: &FollowRequest) {
         if self
             .registry
             .note_progress(&request.daemon, request.progress)
         {
-            self.note_follower(request);
+            self.record_follower(request);
         }
     }
 
-    /// Whether the daemon announced that it has stopped.
+    /// Whether the daemon has announced its stop.
     pub fn has_stopped(&self, daemon: &DaemonId) -> bool {
         self.stopped.contains(daemon)
     }
 
-    /// Refuses leases to these daemons, whose leases have ended, and to no others. Called
+    /// Refuses leases to these daemons, whose leases have expired, and to no others. Called
     /// before the command that frees their slots is proposed: until it is applied, the
     /// state still assigns the slots to them, and a new lease would cover slots that are
     /// about to be reassigned.
@@ -89,30 +89,32 @@
         self.freeing_slots = daemons.iter().cloned().collect();
     }
 
-    /// Whether the daemon may be granted a lease: not while its slots are being
-    /// freed.
+    /// Whether the daemon may be granted a lease: not while its slots are being freed.
     pub fn may_grant_lease(&self, daemon: &DaemonId) -> bool {
         !self.freeing_slots.contains(daemon)
     }
 
-    /// Notes a daemon's report. Returns whether it says anything new.
-    pub fn note_report(&mut self, now: Millis, request: ReportRequest) -> bool {
+    /// Records a daemon's report. Returns whether it differs from the previous one.
+    pub fn record_report(&mut self, now: Millis, request: ReportRequest) -> bool {
         let known = self.reports.get(&request.daemon);
-        let is_news = known.is_none_or(|known| known.request != request);
-        let report = Report { at: now, request };
+        let is_new = known.is_none_or(|known| known.request != request);
+        let report = Report {
+            received_at: now,
+            request,
+        };
         self.reports.insert(report.request.daemon.clone(), report);
-        is_news
+        is_new
     }
 
-    /// What is new about daemons against the tables: those that appeared or
-    /// announced something, and those whose lease ended.
-    pub fn member_news(&self, now: Millis, tables: &Tables) -> Vec<(String, Member)> {
+    /// Returns the members that differ from the tables: daemons that appeared or announced a
+    /// new phase, and daemons whose lease expired.
+    pub fn member_updates(&self, now: Millis, tables: &Tables) -> Vec<(String, Member)> {
         let mut current: BTreeMap<String, Member> = tables
             .members
             .iter()
             .map(|(name, member)| (name.clone(), member.clone()))
             .collect();
-        for (daemon, member) in &self.seen {
+        for (daemon, member) in &self.observed {
             let known = current.get(&daemon.name);
             if known.is_none_or(|known| known.is_superseded_by(member)) {
                 current.insert(daemon.name.clone(), member.clone());
@@ -120,39 +122,39 @@
         }
         current
             .into_iter()
-            .map(|(name, member)| self.with_lease(now, name, member))
+            .map(|(name, member)| self.with_lease_state(now, name, member))
             .filter(|(name, member)| tables.members.get(name) != Some(member))
             .collect()
     }
 
-    fn with_lease(&self, now: Millis, name: String, mut member: Member) -> (String, Member) {
+    fn with_lease_state(&self, now: Millis, name: String, mut member: Member) -> (String, Member) {
         let daemon = DaemonId {
             name,
             incarnation: member.incarnation,
         };
-        let serves = member.phase == MemberPhase::Serving;
-        if serves && !self.registry.may_decide(now, &daemon) {
+        let is_serving = member.phase == MemberPhase::Serving;
+        if is_serving && !self.registry.may_decide(now, &daemon) {
             member.phase = MemberPhase::Silent;
         }
         (daemon.name, member)
     }
 
-    /// Whether nothing that this daemon dispatched can be in flight.
-    pub fn is_over(&self, now: Millis, daemon: &DaemonId, grace: Millis) -> bool {
+    /// Whether no request that this daemon dispatched can be in flight.
+    pub fn has_ended(&self, now: Millis, daemon: &DaemonId, grace: Millis) -> bool {
         self.stopped.contains(daemon) || self.registry.has_lease_expired(now, daemon, grace)
     }
 
-    /// Forgets daemons whose leases and requests have ended.
-    pub fn forget_ended(&mut self, now: Millis, grace: Millis) {
+    /// Removes daemons whose leases and requests have ended, and expired reports.
+    pub fn remove_ended(&mut self, now: Millis, grace: Millis) {
         self.registry.remove_expired(now, grace);
         self.reports
-            .retain(|_, report| now < report.at + REPORT_LIFETIME_MS);
+            .retain(|_, report| now < report.received_at + REPORT_LIFETIME_MS);
         let registry = &self.registry;
-        self.seen
+        self.observed
             .retain(|daemon, _| !registry.has_lease_expired(now, daemon, grace));
     }
 
-    /// Demand by the reports that still count.
+    /// Returns the demand in unexpired reports.
     pub fn demand(&self, now: Millis) -> Demand {
         let mut demand = Demand::new();
         for report in self.fresh_reports(now) {
@@ -164,19 +166,20 @@
         demand
     }
 
-    /// Back ends that some daemon can't reach and none can.
-    pub fn down(&self, now: Millis) -> BTreeSet<BackendId> {
-        let mut down = BTreeSet::new();
-        let mut up = BTreeSet::new();
+    /// Returns the back ends that at least one daemon reports as unreachable and none as
+    /// reachable.
+    pub fn unreachable_backends(&self, now: Millis) -> BTreeSet<BackendId> {
+        let mut unreachable = BTreeSet::new();
+        let mut reachable = BTreeSet::new();
         for report in self.fresh_reports(now) {
-            down.extend(report.unreachable.iter().cloned());
-            up.extend(report.reachable.iter().cloned());
+            unreachable.extend(report.unreachable.iter().cloned());
+            reachable.extend(report.reachable.iter().cloned());
         }
-        down.difference(&up).cloned().collect()
+        unreachable.difference(&reachable).cloned().collect()
     }
 
-    /// Back ends that said they are leaving.
-    pub fn leaving(&self, now: Millis) -> BTreeSet<BackendEpoch> {
+    /// Returns the back ends that announced that they are leaving.
+    pub fn leaving_backends(&self, now: Millis) -> BTreeSet<BackendEpoch> {
         self.fresh_reports(now)
             .flat_map(|report| report.leaving.iter().cloned())
             .collect()
@@ -185,7 +188,7 @@
     fn fresh_reports(&self, now: Millis) -> impl Iterator<Item = &ReportRequest> {
         self.reports
             .values()
-            .filter(move |report| now < report.at + REPORT_LIFETIME_MS)
+            .filter(move |report| now < report.received_at + REPORT_LIFETIME_MS)
             .map(|report| &report.request)
     }
 }
--- a/crates/coursestand-daemon/src/fleet/catalog_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_follower.rs
@@ -12,7 +12,7 @@
 use coursestand_proxy::EdgeState;
 use log::info;
 
-use crate::control::shared::LogReach;
+use crate::control::shared::LogExtent;
 
 const LOG: &str = "follower";
 
@@ -90,7 +90,7 @@
     }
 
     /// `from` was asked at `asked_at` how far its log reaches; its catalog is at `version`.
-    pub fn note_reach(&self, from: SocketAddr, asked_at: Millis, reach: LogReach, version: u64) {
+    pub fn note_reach(&self, from: SocketAddr, asked_at: Millis, reach: LogExtent, version: u64) {
         let mut freshness = self.freshness();
         freshness.note_applied(version, reach.applied);
         freshness.note_log_end(from, asked_at, reach.end);
--- a/crates/coursestand-daemon/src/fleet/control_service.rs
+++ b/crates/coursestand-daemon/src/fleet/control_service.rs
@@ -178,7 +178,7 @@
         };
         let started = Instant::now();
         let leads = mesh.control.shared.leading_term().is_some();
-        if leads && mesh.control.deliver(Event::HandOver).is_ok() {
+        if leads && mesh.control.deliver(Event::TransferLeadership).is_ok() {
             while mesh.control.shared.status().role == "leader"
                 && started.elapsed() < HAND_OVER_LIMIT
             {
--- a/crates/coursestand-daemon/src/fleet/edge_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_follower.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, broadcast, watch};
 use tokio::task::JoinHandle;
 
-use crate::control::shared::LogReach;
+use crate::control::shared::LogExtent;
 use crate::fleet::catalog_follower::CatalogFollower;
 use crate::fleet::control_link::keep_following;
 use crate::fleet::follower_metrics::FollowerMetrics;
@@ -212,7 +212,7 @@
         control: SocketAddr,
         round_trip: Duration,
         asked_at: Millis,
-        reach: Option<LogReach>,
+        reach: Option<LogExtent>,
         catalog: u64,
     ) {
         self.metrics.round_trip.observe(round_trip.as_secs_f64());
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -21,7 +21,7 @@
 use crate::control::event::Event;
 use crate::control::handle::ControlHandle;
 use crate::control::peers::Envelope;
-use crate::control::shared::{ControlShared, LogReach};
+use crate::control::shared::{ControlShared, LogExtent};
 use crate::fleet::catalog_news::{CatalogTelling, Telling};
 use crate::fleet::formation::Formation;
 use crate::fleet::hub::{EdgeNames, Hub, Reads};
@@ -406,14 +406,14 @@
 
     /// The same, unless the replica began anew from its disk meanwhile: what was sent
     /// may then be older.
-    fn still_applied(&self, reach: Option<LogReach>) -> Option<LogReach> {
-        let now = self.serving.control.shared.log_reach()?;
+    fn still_applied(&self, reach: Option<LogExtent>) -> Option<LogExtent> {
+        let now = self.serving.control.shared.log_extent()?;
         reach.filter(|reach| now.applied >= reach.applied)
     }
 
     async fn answer_ping(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
         // Read first: what it says is applied is then told.
-        let reach = self.shared().log_reach();
+        let reach = self.shared().log_extent();
         self.send_catalog(sender).await?;
         let reach = self.still_applied(reach);
         let catalog = self.shared().state().catalog().version();
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -11,7 +11,7 @@
 use coursestand_routing::{RateLimitUpdate, SharedCrashRecord, SharedFinding, TrialVerdict};
 use serde::{Deserialize, Deserializer, Serialize};
 
-use crate::control::shared::LogReach;
+use crate::control::shared::LogExtent;
 
 /// What a control process receives on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -246,7 +246,7 @@
     /// applied when it got the sign was sent before.
     Pong {
         /// How far its log reached then; `None` when it is no voter.
-        reach: Option<LogReach>,
+        reach: Option<LogExtent>,
         /// Newest change of the catalog that it had applied, or a later one.
         catalog: u64,
     },
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coursestand_catalog::{Catalog, Patch, RouteKind};
-use coursestand_daemon::control::shared::LogReach;
+use coursestand_daemon::control::shared::LogExtent;
 use coursestand_daemon::fleet::catalog_news::{CatalogNews, CatalogTelling, Telling};
 use coursestand_daemon::fleet::wire::{ControlGroup, EdgeChange, Starts, ToControl, ToEdge};
 use coursestand_discovery::InstanceNews;
@@ -26,7 +26,7 @@
 
 struct Script {
     catalog: Catalog,
-    reach: Option<LogReach>,
+    reach: Option<LogExtent>,
     group: ControlGroup,
     /// Time that all after the group takes to pass on a new connection.
     table_takes: Duration,
@@ -73,7 +73,7 @@
             address,
             script: Arc::new(Mutex::new(Script {
                 catalog,
-                reach: Some(LogReach {
+                reach: Some(LogExtent {
                     end: FIRST_CHANGE,
                     applied: FIRST_CHANGE,
                 }),
@@ -138,7 +138,7 @@
         {
             let mut script = self.script();
             script.catalog.merge(patch, index).expect("valid");
-            script.reach = Some(LogReach {
+            script.reach = Some(LogExtent {
                 end: index,
                 applied: index,
             });
--- a/crates/coursestand-daemon/tests/tenure.rs
+++ b/crates/coursestand-daemon/tests/tenure.rs
@@ -35,14 +35,14 @@
 fn answered_once() -> Tenure {
     let mut tenure = Tenure::new(TERM, 0);
     let first = request(MemberPhase::Serving, 4);
-    tenure.note_follower(&first);
+    tenure.record_follower(&first);
     tenure.registry.grant(NOW, &first.daemon, first.progress, 4);
     tenure
 }
 
 fn phases(tenure: &Tenure) -> Vec<MemberPhase> {
     tenure
-        .member_news(NOW, &Tables::default())
+        .member_updates(NOW, &Tables::default())
         .into_iter()
         .map(|(_, member)| member.phase)
         .collect()
@@ -52,18 +52,18 @@
 fn a_held_request_has_confirmed_and_announced_already() {
     let mut tenure = answered_once();
     expect_that!(tenure.registry.confirmed_by_all(NOW, 9), eq(Some(4)));
-    tenure.note_arrival(&request(MemberPhase::Leaving, 9));
+    tenure.record_poll(&request(MemberPhase::Leaving, 9));
     expect_that!(tenure.registry.confirmed_by_all(NOW, 9), eq(Some(9)));
     expect_that!(phases(&tenure), elements_are![eq(&MemberPhase::Leaving)]);
     // An earlier request whose hold ends now takes nothing back.
-    tenure.note_follower(&request(MemberPhase::Serving, 4));
+    tenure.record_follower(&request(MemberPhase::Serving, 4));
     expect_that!(phases(&tenure), elements_are![eq(&MemberPhase::Leaving)]);
 }
 
 #[gtest]
 fn a_daemon_without_a_lease_is_not_noted_on_arrival() {
     let mut tenure = Tenure::new(TERM, 0);
-    tenure.note_arrival(&request(MemberPhase::Serving, 4));
+    tenure.record_poll(&request(MemberPhase::Serving, 4));
     expect_that!(phases(&tenure), is_empty());
     expect_that!(tenure.registry.leased(NOW), is_empty());
 }
