--- a/crates/coursestand-daemon/src/control/operators.rs
+++ b/crates/coursestand-daemon/src/control/operators.rs
@@ -124,15 +124,15 @@
 }
 
 /// The service that runs the operators' interface.
-pub struct Operators {
+pub struct OperatorApi {
     settings: ControlSettings,
     server: Mutex<Option<Arc<HttpServer>>>,
 }
 
-impl Operators {
+impl OperatorApi {
     /// Returns the interface with these settings, not started.
-    pub fn new(settings: ControlSettings) -> Operators {
-        Operators {
+    pub fn new(settings: ControlSettings) -> OperatorApi {
+        OperatorApi {
             settings,
             server: Mutex::new(None),
         }
@@ -147,7 +147,7 @@
 }
 
 #[async_trait]
-impl Service for Operators {
+impl Service for OperatorApi {
     fn name(&self) -> &'static str {
         names::OPERATORS
     }
--- a/crates/coursestand-daemon/src/daemon.rs
+++ b/crates/coursestand-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a daemon together, as its settings say.
+//! Composes the services of a daemon from its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,15 +19,15 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::control::leader::Leader;
-use crate::control::operators::Operators;
+use crate::control::operators::OperatorApi;
 use crate::control::replica::ControlReplica;
 use crate::entry::control_client::{ControlClient, OnceClient};
-use crate::entry::follower::{Follower, Myself};
+use crate::entry::follower::{Follower, LocalDaemon};
 use crate::entry::gateway_service::GatewayService;
 use crate::entry::prober::Prober;
 use crate::entry::reporter::Reporter;
 
-/// Why a daemon could not start.
+/// Errors of starting a daemon.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
     /// A service failed.
@@ -42,13 +42,13 @@
         /// Cause.
         source: HttpError,
     },
-    /// No connection to the control group can be made.
+    /// The client for the control group can't be created.
     #[snafu(display("the control client: {source}"))]
     Control {
         /// Cause.
         source: TransportError,
     },
-    /// No client for back ends can be made.
+    /// The client for back ends can't be created.
     #[snafu(display("{source}"))]
     BackEnds {
         /// Cause.
@@ -69,7 +69,7 @@
 }
 
 impl Daemon {
-    /// Starts the daemon that `settings` describe.
+    /// Starts a daemon with these settings.
     pub async fn start(settings: &DaemonSettings) -> Result<Daemon, DaemonError> {
         let clock = MonotonicClock::of_process();
         let mut kernel = Kernel::new();
@@ -90,23 +90,23 @@
         }
     }
 
-    /// Address of the admin interface.
+    /// Returns the address of the admin interface.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The services.
+    /// Returns the kernel, which runs the services.
     pub fn kernel(&self) -> &Kernel {
         &self.kernel
     }
 
-    /// Ends the daemon and cuts no request off.
+    /// Stops the daemon without interrupting requests.
     pub async fn drain_and_stop(&self) {
         self.kernel.drain_and_stop().await;
         self.admin.stop().await;
     }
 
-    /// Ends the daemon at once.
+    /// Stops the daemon immediately.
     pub async fn stop(&self) {
         self.kernel.stop().await;
         self.admin.stop().await;
@@ -116,7 +116,7 @@
 fn add_control(kernel: &mut Kernel, settings: &ControlSettings, clock: MonotonicClock) {
     kernel.add(Arc::new(ControlReplica::new(settings.clone(), clock)));
     kernel.add(Arc::new(Leader::new(settings.clone())));
-    kernel.add(Arc::new(Operators::new(settings.clone())));
+    kernel.add(Arc::new(OperatorApi::new(settings.clone())));
 }
 
 fn add_entry(
@@ -142,17 +142,22 @@
         once,
         metrics,
     ));
-    let myself = Myself {
+    let local_daemon = LocalDaemon {
         daemon: daemon.clone(),
         zone: settings.zone.clone(),
         address: Some(entry.advertise.unwrap_or(entry.listen).to_string()),
     };
-    let follower = Follower::new(myself, Arc::clone(&shared), Arc::clone(&control), clock);
+    let follower = Follower::new(
+        local_daemon,
+        Arc::clone(&shared),
+        Arc::clone(&control),
+        clock,
+    );
     let prober = Prober::new(Arc::clone(&shared), Duration::from_millis(entry.probe_ms));
     let reporter = Reporter::new(daemon, shared, control);
     let stop_within = Duration::from_millis(settings.stop_ms);
     let service = GatewayService::new(entry.listen, gateway, stop_within);
-    // Drained in the opposite order: callers first, the lease last.
+    // Services are drained in reverse order: callers first, the lease last.
     kernel.add(Arc::new(follower));
     kernel.add(Arc::new(reporter));
     kernel.add(Arc::new(prober));
--- a/crates/coursestand-daemon/src/entry/control_client.rs
+++ b/crates/coursestand-daemon/src/entry/control_client.rs
@@ -1,5 +1,5 @@
-//! The connection of a daemon to the control group: finds the leader and asks
-//! it. Also the edge of the gateway towards the once ledger.
+//! The client of a daemon for the control group: finds the leader and sends it requests.
+//! Also the gateway's access to the once ledger.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,20 +15,20 @@
 use snafu::Snafu;
 
 const LOG: &str = "follower";
-/// Longest wait for one replica before the next one is asked.
-const ATTEMPT: Duration = Duration::from_millis(1_000);
-/// Pause after all replicas were asked in vain.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long completions and releases are tried again in the background.
-const BACKGROUND: Duration = Duration::from_secs(30);
-
-/// Why the control group gave no answer.
+/// Time-out of a once command at one replica before the next one is tried.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Delay after an attempt at each replica has failed.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time for which completions and releases are retried in the background.
+const BACKGROUND_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Errors of a request to the control group.
 #[derive(Debug, Snafu)]
 pub enum ControlClientError {
     /// No leader answered in time.
     #[snafu(display("no leader of the control group answered in time"))]
     NoLeader,
-    /// The leader refused.
+    /// The leader refused the request.
     #[snafu(display("the control group refused: {reason}"))]
     Refused {
         /// The reason.
@@ -38,22 +38,22 @@
 
 type Replica = Arc<Client<ControlRequest, ControlReply>>;
 
-/// The replica that a request was sent to.
-struct Asked {
+/// The replica that is currently taken to be the leader.
+struct CurrentReplica {
     replica: Replica,
-    /// Position in the round of replicas.
+    /// Value of `ControlClient::current`; modulo `count`, the index of the replica.
     position: usize,
     count: usize,
 }
 
-/// Asks the leader of the control group.
+/// Sends requests to the leader of the control group.
 pub struct ControlClient {
     replicas: RwLock<Vec<Replica>>,
     current: AtomicUsize,
 }
 
 impl ControlClient {
-    /// A client of the replicas at these addresses.
+    /// Returns a client for the replicas at these addresses.
     pub fn new(addresses: &[SocketAddr]) -> Result<ControlClient, TransportError> {
         let replicas = addresses
             .iter()
@@ -65,65 +65,65 @@
         })
     }
 
-    /// Asks the leader, wherever it is, until `deadline`; each replica gets up
-    /// to `attempt`. The request may be taken more than once, so it has to be
-    /// one that may.
-    pub async fn ask(
+    /// Sends a request to the leader. Tries the replicas in turn until `deadline`, each for up
+    /// to `attempt_timeout`. The request may be executed more than once, so it must be
+    /// idempotent.
+    pub async fn send(
         &self,
         request: &ControlRequest,
-        attempt: Duration,
+        attempt_timeout: Duration,
         deadline: Duration,
     ) -> Result<ControlReply, ControlClientError> {
         let end = Instant::now() + deadline;
-        let mut tried = 0;
+        let mut attempts = 0;
         loop {
             let remaining = end.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
                 return Err(ControlClientError::NoLeader);
             }
-            let asked = self.current();
-            match asked
+            let target = self.current();
+            match target
                 .replica
-                .exchange(request, attempt.min(remaining))
+                .exchange(request, attempt_timeout.min(remaining))
                 .await
             {
-                Ok(ControlReply::NotLeader(leader)) => self.go_on(&asked, leader),
+                Ok(ControlReply::NotLeader(leader)) => self.advance(&target, leader),
                 Ok(ControlReply::Refused(reason)) => {
                     return Err(ControlClientError::Refused { reason });
                 }
                 Ok(reply) => return Ok(reply),
-                Err(_) => self.go_on(&asked, None),
+                Err(_) => self.advance(&target, None),
             }
-            tried += 1;
-            if tried % asked.count == 0 {
-                tokio::time::sleep(PAUSE.min(remaining)).await;
+            attempts += 1;
+            if attempts % target.count == 0 {
+                tokio::time::sleep(RETRY_DELAY.min(remaining)).await;
             }
         }
     }
 
-    /// The replica that was asked last, for the state dump.
+    /// Returns the address of the replica that receives the next request, for the state dump.
     pub fn current_address(&self) -> SocketAddr {
         self.current().replica.address()
     }
 
-    fn current(&self) -> Asked {
+    fn current(&self) -> CurrentReplica {
         let replicas = self.replicas.read().unwrap_or_else(PoisonError::into_inner);
         let position = self.current.load(Ordering::Relaxed);
-        Asked {
+        CurrentReplica {
             replica: Arc::clone(&replicas[position % replicas.len()]),
             position,
             count: replicas.len(),
         }
     }
 
-    /// Goes on to the leader, if it is known, or else to the next replica.
-    fn go_on(&self, asked: &Asked, leader: Option<SocketAddr>) {
+    /// Switches to the leader if it is known, and to the next replica otherwise.
+    fn advance(&self, target: &CurrentReplica, leader: Option<SocketAddr>) {
         let Some(leader) = leader else {
-            // Only from where this request was: others may have gone on already,
-            // and together they must not come round to the same replica again.
+            // Advances only from the replica of this request: concurrent requests that fail
+            // at the same replica must advance by one together, or they could return to it.
             let _ = self.current.compare_exchange(
-                asked.position,
-                asked.position + 1,
+                target.position,
+                target.position + 1,
                 Ordering::Relaxed,
                 Ordering::Relaxed,
             );
@@ -140,7 +140,7 @@
             self.current.store(index, Ordering::Relaxed);
             return;
         }
-        // A replica that replaced one of those in the settings.
+        // The leader replaced one of the replicas in the settings.
         match Client::new(leader) {
             Ok(client) => {
                 replicas.push(Arc::new(client));
@@ -151,23 +151,26 @@
     }
 }
 
-/// The once ledger, reached through the control group.
+/// Client for the once ledger of the control group.
 pub struct OnceClient {
     control: Arc<ControlClient>,
 }
 
 impl OnceClient {
-    /// Asks through `control`.
+    /// Returns a client that sends its commands through `control`.
     pub fn new(control: Arc<ControlClient>) -> OnceClient {
         OnceClient { control }
     }
 
-    fn in_background(&self, command: OnceCommand) {
+    fn send_in_background(&self, command: OnceCommand) {
         let request = ControlRequest::Once(command);
         let control = Arc::clone(&self.control);
         tokio::spawn(async move {
-            if let Err(error) = control.ask(&request, ATTEMPT, BACKGROUND).await {
-                warn!(target: LOG, "the once ledger was not told: {error}");
+            if let Err(error) = control
+                .send(&request, ATTEMPT_TIMEOUT, BACKGROUND_TIMEOUT)
+                .await
+            {
+                warn!(target: LOG, "the once ledger was not updated: {error}");
             }
         });
     }
@@ -185,10 +188,10 @@
             key: key.clone(),
             claim: claim.clone(),
         });
-        match self.control.ask(&request, ATTEMPT, deadline).await {
+        match self.control.send(&request, ATTEMPT_TIMEOUT, deadline).await {
             Ok(ControlReply::Claim(answer)) => Ok(answer),
             Ok(_) => Err(OnceError {
-                reason: "another kind of answer".to_owned(),
+                reason: "unexpected kind of answer".to_owned(),
             }),
             Err(error) => Err(OnceError {
                 reason: error.to_string(),
@@ -197,10 +200,10 @@
     }
 
     fn complete(&self, key: OnceKey, claim: ClaimId, answer: RecordedAnswer) {
-        self.in_background(OnceCommand::Complete { key, claim, answer });
+        self.send_in_background(OnceCommand::Complete { key, claim, answer });
     }
 
     fn release(&self, key: OnceKey, claim: ClaimId) {
-        self.in_background(OnceCommand::Release { key, claim });
+        self.send_in_background(OnceCommand::Release { key, claim });
     }
 }
--- a/crates/coursestand-daemon/src/entry/follower.rs
+++ b/crates/coursestand-daemon/src/entry/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the control group: takes new control state over and keeps the lease.
+//! Follows the control group: applies new control state and renews the lease.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -19,18 +19,18 @@
 use crate::names;
 
 const LOG: &str = "follower";
-/// Time for one replica to answer: the hold and two slow round trips.
-const ATTEMPT: Duration = Duration::from_millis(MAX_POLL_WAIT_MS + 500);
-/// Pause after the control group gave no answer.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for the control group to take the last message.
-const FAREWELL: Duration = Duration::from_secs(2);
-/// Look-ups stop naming this daemon within this time after it announced it.
-const ANNOUNCE: Duration = Duration::from_millis(500);
-
-/// The daemon as the control group sees it.
+/// Time-out at one replica: the long poll and two slow round trips.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(MAX_POLL_WAIT_MS + 500);
+/// Delay after a failed request to the control group.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time-out of the last request, which releases lease and slots.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time within which look-ups exclude this daemon after it announced that it leaves.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(500);
+
+/// What this daemon reports of itself to the control group.
 #[derive(Clone, Debug)]
-pub struct Myself {
+pub struct LocalDaemon {
     /// Name and incarnation.
     pub daemon: DaemonId,
     /// Zone in which it runs.
@@ -39,14 +39,14 @@
     pub address: Option<String>,
 }
 
-/// Follows the control group.
+/// The service that follows the control group.
 pub struct Follower {
     inner: Arc<Inner>,
     tasks: Tasks,
 }
 
 struct Inner {
-    myself: Myself,
+    local_daemon: LocalDaemon,
     shared: Arc<Shared>,
     control: Arc<ControlClient>,
     clock: MonotonicClock,
@@ -56,16 +56,16 @@
 }
 
 impl Follower {
-    /// Follows through `control` and keeps `shared` up to date.
+    /// Returns a follower that sends its requests through `control` and updates `shared`.
     pub fn new(
-        myself: Myself,
+        local_daemon: LocalDaemon,
         shared: Arc<Shared>,
         control: Arc<ControlClient>,
         clock: MonotonicClock,
     ) -> Follower {
         Follower {
             inner: Arc::new(Inner {
-                myself,
+                local_daemon,
                 shared,
                 control,
                 clock,
@@ -78,17 +78,17 @@
     }
 }
 
-/// What other services ask of the follower.
+/// Handle of the follower for other services.
 pub struct FollowerHandle {
     inner: Arc<Inner>,
 }
 
 impl FollowerHandle {
-    /// Announces that this daemon leaves; returns once look-ups have had time to
-    /// stop naming it.
+    /// Announces that this daemon leaves. Returns after the time within which look-ups exclude
+    /// it.
     pub async fn announce_leaving(&self) {
         self.inner.set_phase(MemberPhase::Leaving);
-        tokio::time::sleep(ANNOUNCE).await;
+        tokio::time::sleep(LEAVE_PROPAGATION_TIME).await;
     }
 }
 
@@ -107,15 +107,18 @@
         Ok(())
     }
 
-    /// Nothing of this daemon is in flight any more: gives its lease and slots
-    /// back at once.
+    /// Releases the lease and the slots. Called once this daemon has no requests in flight.
     async fn drain(&self) {
         self.tasks.abort();
         self.inner.set_phase(MemberPhase::Gone);
         let request = ControlRequest::Follow(self.inner.request());
-        let told = self.inner.control.ask(&request, FAREWELL, FAREWELL).await;
-        if let Err(error) = told {
-            warn!(target: LOG, "the slots were not given back: {error}");
+        let released = self
+            .inner
+            .control
+            .send(&request, RELEASE_TIMEOUT, RELEASE_TIMEOUT)
+            .await;
+        if let Err(error) = released {
+            warn!(target: LOG, "the slots were not released: {error}");
         }
     }
 
@@ -135,8 +138,8 @@
             .collect();
         json!({
             "shares": shares,
-            "daemon": self.inner.myself.daemon,
-            "zone": self.inner.myself.zone,
+            "daemon": self.inner.local_daemon.daemon,
+            "zone": self.inner.local_daemon.zone,
             "version": tables.version,
             "revision": bundle.map(|bundle| bundle.revision),
             "lease_ms": self.inner.shared.lease.remaining(),
@@ -171,22 +174,22 @@
 
     fn request(&self) -> FollowRequest {
         FollowRequest {
-            daemon: self.myself.daemon.clone(),
-            zone: self.myself.zone.clone(),
-            address: self.myself.address.clone(),
+            daemon: self.local_daemon.daemon.clone(),
+            zone: self.local_daemon.zone.clone(),
+            address: self.local_daemon.address.clone(),
             phase: self.phase(),
             have: self.tables().version,
             progress: self.shared.steering().progress(),
         }
     }
 
-    /// Takes news over, and only then extends the lease: what this daemon
-    /// decides on is never older than what the lease was granted for.
-    fn take(&self, sent_at: Millis, delta: coursestand_coordination::Delta) {
+    /// Applies a delta, and only then extends the lease: the tables on which this daemon bases
+    /// its decisions are never older than the version for which the lease was granted.
+    fn apply_delta(&self, sent_at: Millis, delta: coursestand_coordination::Delta) {
         let mut tables = self.tables();
-        let before = tables.bundle_in_force().map(|bundle| bundle.revision);
+        let previous_revision = tables.bundle_in_force().map(|bundle| bundle.revision);
         if delta.version < tables.version {
-            // A late answer of an earlier leader: nothing is taken back.
+            // A late answer of an earlier leader must not revert the tables.
             return;
         }
         tables.apply(delta);
@@ -195,7 +198,7 @@
             return;
         }
         let revision = tables.bundle_in_force().map(|bundle| bundle.revision);
-        if revision != before {
+        if revision != previous_revision {
             info!(target: LOG, "revision {} is in force here", revision.unwrap_or(0));
         }
         drop(tables);
@@ -208,17 +211,19 @@
     loop {
         let sent_at = inner.clock.now();
         let request = ControlRequest::Follow(inner.request());
-        let asked = inner.control.ask(&request, ATTEMPT, ATTEMPT);
+        let exchange = inner
+            .control
+            .send(&request, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT);
         let answer = tokio::select! {
-            answer = asked => answer,
+            answer = exchange => answer,
             () = inner.phase_changed.notified() => continue,
         };
         match answer {
-            Ok(ControlReply::Follow(delta)) => inner.take(sent_at, delta),
-            Ok(_) => tokio::time::sleep(PAUSE).await,
+            Ok(ControlReply::Follow(delta)) => inner.apply_delta(sent_at, delta),
+            Ok(_) => tokio::time::sleep(RETRY_DELAY).await,
             Err(failure) => {
-                warn!(target: LOG, "no news: {failure}");
-                tokio::time::sleep(PAUSE).await;
+                warn!(target: LOG, "no update from the control group: {failure}");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/coursestand-daemon/src/entry/gateway_service.rs
+++ b/crates/coursestand-daemon/src/entry/gateway_service.rs
@@ -1,4 +1,4 @@
-//! Serves callers, and stops in an order that cuts no request off.
+//! Serves callers, and shuts down in an order that interrupts no request.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,8 +17,8 @@
 use crate::names;
 
 const LOG: &str = "gateway";
-/// Time between two looks at what is in flight.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks for requests in flight.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The caller interface of an entry daemon.
 pub struct GatewayService {
@@ -30,8 +30,8 @@
 }
 
 impl GatewayService {
-    /// Serves on `address`; a planned stop waits up to `stop_within` for
-    /// requests in flight.
+    /// Returns a service on `address`. A planned stop waits up to `stop_within` for requests in
+    /// flight.
     pub fn new(address: SocketAddr, gateway: Arc<Gateway>, stop_within: Duration) -> Self {
         GatewayService {
             address,
@@ -87,9 +87,9 @@
         Ok(())
     }
 
-    /// Look-ups stop naming this daemon first. Callers may have cached an answer
-    /// that names it, so it serves for the lifetime of those answers. Then it
-    /// stops accepting and finishes what is in flight.
+    /// Excludes this daemon from look-ups, then continues to serve for the lifetime of look-up
+    /// answers that callers may have cached, then stops accepting connections and completes
+    /// the requests in flight.
     async fn drain(&self) {
         if let Some(follower) = self.follower() {
             follower.announce_leaving().await;
@@ -98,11 +98,11 @@
         if let Some(server) = self.server() {
             server.drain().await;
         }
-        let give_up = Instant::now() + self.stop_within;
-        while in_flight(self.gateway.shared()) > 0 && Instant::now() < give_up {
-            tokio::time::sleep(LOOK).await;
+        let deadline = Instant::now() + self.stop_within;
+        while in_flight(self.gateway.shared()) > 0 && Instant::now() < deadline {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        info!(target: LOG, "no request is in flight any more");
+        info!(target: LOG, "no requests in flight");
     }
 
     async fn stop(&self) {
--- a/crates/coursestand-daemon/src/entry/mod.rs
+++ b/crates/coursestand-daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry role: look-ups, the gateway, and what keeps them up to date.
+//! The entry role: look-ups, the gateway, and the services that update their state.
 
 pub mod control_client;
 pub mod follower;
--- a/crates/coursestand-daemon/src/entry/prober.rs
+++ b/crates/coursestand-daemon/src/entry/prober.rs
@@ -1,5 +1,5 @@
-//! Probes the back ends on which this daemon holds slots: nobody else sends them
-//! work from here, and each back end is probed by a few daemons only.
+//! Probes the back ends on which this daemon holds slots. It sends work to no others, and so
+//! only a few daemons probe each back end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 
 const LOG: &str = "prober";
 
-/// Probes back ends.
+/// The service that probes back ends.
 pub struct Prober {
     shared: Arc<Shared>,
-    pause: Duration,
+    interval: Duration,
     tasks: Tasks,
 }
 
 impl Prober {
-    /// Probes once every `pause`.
-    pub fn new(shared: Arc<Shared>, pause: Duration) -> Prober {
+    /// Returns a prober that waits for `interval` between rounds of probes.
+    pub fn new(shared: Arc<Shared>, interval: Duration) -> Prober {
         Prober {
             shared,
-            pause,
+            interval,
             tasks: Tasks::default(),
         }
     }
@@ -42,7 +42,8 @@
     }
 
     async fn start(&self, _registry: &Arc<Registry>) -> Result<(), ServiceError> {
-        self.tasks.start(run(Arc::clone(&self.shared), self.pause));
+        self.tasks
+            .start(run(Arc::clone(&self.shared), self.interval));
         Ok(())
     }
 
@@ -72,9 +73,9 @@
     }
 }
 
-async fn run(shared: Arc<Shared>, pause: Duration) {
+async fn run(shared: Arc<Shared>, interval: Duration) {
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         let targets: Vec<(BackendId, String)> = shared
             .steering()
             .backends()
@@ -99,7 +100,7 @@
         .find(&id)
         .is_some_and(|backend| backend.is_usable());
     backends.note_probe(&id, answer.is_some());
-    let mut is_news = backends
+    let mut is_report_due = backends
         .find(&id)
         .is_some_and(|backend| backend.is_usable() != was_usable);
     if let Some(answer) = &answer
@@ -112,10 +113,10 @@
         && backends.note_leaving(&id, answer.epoch)
     {
         info!(target: LOG, "back end {id} is leaving");
-        is_news = true;
+        is_report_due = true;
     }
     drop(steering);
-    if is_news {
+    if is_report_due {
         shared.report_now.notify_one();
     }
 }
--- a/crates/coursestand-daemon/src/entry/reporter.rs
+++ b/crates/coursestand-daemon/src/entry/reporter.rs
@@ -15,15 +15,15 @@
 use crate::entry::control_client::ControlClient;
 use crate::names;
 
-/// Time between two reports when nothing presses.
-const PERIOD: Duration = Duration::from_millis(1_000);
-/// Time between two reports at least.
-const PAUSE: Duration = Duration::from_millis(50);
-const ATTEMPT: Duration = Duration::from_millis(500);
-/// Length of a period of demand.
+/// Interval between reports unless one is requested earlier.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Minimum interval between reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Length of a period over which demand is measured.
 const DEMAND_PERIOD: Duration = Duration::from_secs(2);
 
-/// Reports to the control group.
+/// The service that reports to the control group.
 pub struct Reporter {
     daemon: DaemonId,
     shared: Arc<Shared>,
@@ -32,7 +32,7 @@
 }
 
 impl Reporter {
-    /// Reports what `shared` shows for `daemon`.
+    /// Returns a reporter of the state in `shared` on behalf of `daemon`.
     pub fn new(daemon: DaemonId, shared: Arc<Shared>, control: Arc<ControlClient>) -> Reporter {
         Reporter {
             daemon,
@@ -75,22 +75,22 @@
 }
 
 async fn run(daemon: DaemonId, shared: Arc<Shared>, control: Arc<ControlClient>) {
-    let mut period_began = Instant::now();
+    let mut demand_period_start = Instant::now();
     loop {
-        // A notification or the end of the period: either way a report follows.
-        let _ = tokio::time::timeout(PERIOD, shared.report_now.notified()).await;
-        let request = ControlRequest::Report(report_of(&daemon, &shared));
-        // The next report tells it again, so a lost one does no harm.
-        let _ = control.ask(&request, ATTEMPT, ATTEMPT).await;
-        if period_began.elapsed() >= DEMAND_PERIOD {
-            period_began = Instant::now();
+        // A report follows whether the wait was notified or timed out.
+        let _ = tokio::time::timeout(REPORT_INTERVAL, shared.report_now.notified()).await;
+        let request = ControlRequest::Report(build_report(&daemon, &shared));
+        // Each report is complete, so a lost one is made up for by the next one.
+        let _ = control.send(&request, REPORT_TIMEOUT, REPORT_TIMEOUT).await;
+        if demand_period_start.elapsed() >= DEMAND_PERIOD {
+            demand_period_start = Instant::now();
             shared.steering().start_demand_period();
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(MIN_REPORT_INTERVAL).await;
     }
 }
 
-fn report_of(daemon: &DaemonId, shared: &Shared) -> ReportRequest {
+fn build_report(daemon: &DaemonId, shared: &Shared) -> ReportRequest {
     let steering = shared.steering();
     let mut report = ReportRequest {
         daemon: daemon.clone(),
--- a/crates/coursestand-daemon/src/lib.rs
+++ b/crates/coursestand-daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The coursestand daemon. One program, several roles chosen by its settings;
-//! this package composes the services of the other packages.
+//! The coursestand daemon: one program whose settings select its roles. This crate composes
+//! the services of the other crates.
 
 pub mod control;
 pub mod daemon;
--- a/crates/coursestand-daemon/src/main.rs
+++ b/crates/coursestand-daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `coursestandd`: the daemon. `--settings FILE` runs a daemon steered by
-//! bundles, `--fleet FILE` a process of a fleet steered by the catalog.
+//! `coursestandd`: the daemon. `--settings FILE` runs a daemon configured by bundles,
+//! `--fleet FILE` runs a process of a fleet configured by the catalog.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -20,12 +20,12 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 const LOG: &str = "daemon";
-/// Exit code for settings that are refused.
-const BAD_SETTINGS: u8 = 2;
-/// Exit code for a daemon that could not start.
-const NOT_STARTED: u8 = 1;
-/// Threads that serve requests of a daemon steered by bundles.
-const WORKERS: usize = 2;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code for a daemon that failed to start.
+const EXIT_NOT_STARTED: u8 = 1;
+/// Worker threads of a daemon configured by bundles.
+const WORKER_THREADS: usize = 2;
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -33,12 +33,9 @@
     help: bool,
     #[options(help = "JSON file with the settings of a daemon", meta = "FILE")]
     settings: Option<PathBuf>,
-    #[options(
-        help = "JSON file with the settings of a fleet's process",
-        meta = "FILE"
-    )]
+    #[options(help = "JSON file with the settings of a fleet process", meta = "FILE")]
     fleet: Option<PathBuf>,
-    #[options(help = "wording of the fleet's calls: native (default) or platform")]
+    #[options(help = "API dialect of the fleet: native (default) or platform")]
     dialect: Option<String>,
     #[options(help = "check the settings and exit")]
     check: bool,
@@ -51,46 +48,46 @@
         (None, Some(file)) => run_node(file, &arguments),
         _ => {
             eprintln!("coursestandd: give either --settings FILE or --fleet FILE");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
     }
 }
 
-/// Settings that are valid; else the exit code.
-fn settings_of<T: DeserializeOwned + Validate>(file: &Path) -> Result<T, ExitCode> {
+/// Loads and validates settings. Prints an error and returns the exit code if they are invalid.
+fn load_settings<T: DeserializeOwned + Validate>(file: &Path) -> Result<T, ExitCode> {
     load(file).map_err(|error| {
         eprintln!("coursestandd: {error}");
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })
 }
 
 fn set_up_logging(name: &str, level: &str) -> Result<(), ExitCode> {
     logging::set_up(name, level).map_err(|error| {
         eprintln!("coursestandd: {error}");
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })
 }
 
-fn run_daemon(file: &Path, only_check: bool) -> ExitCode {
-    let settings: DaemonSettings = match settings_of(file) {
+fn run_daemon(file: &Path, check_only: bool) -> ExitCode {
+    let settings: DaemonSettings = match load_settings(file) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
-    if only_check {
-        return valid(file);
+    if check_only {
+        return report_valid(file);
     }
     if let Err(code) = set_up_logging(&settings.name, &settings.log_level) {
         return code;
     }
     let runtime = Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build();
     with_runtime(runtime, |runtime| runtime.block_on(serve_daemon(&settings)))
 }
 
 fn run_node(file: &Path, arguments: &Arguments) -> ExitCode {
-    let settings: FleetSettings = match settings_of(file) {
+    let settings: FleetSettings = match load_settings(file) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -99,30 +96,30 @@
         Some("platform") => Arc::new(Platform),
         Some(other) => {
             eprintln!("coursestandd: --dialect: found {other}, allowed: native, platform");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if arguments.check {
-        return valid(file);
+        return report_valid(file);
     }
     if let Err(code) = set_up_logging(&settings.name, &settings.log_level) {
         return code;
     }
-    // One thread: the machines have one core, and wake-ups cost.
+    // A single thread: the machines have one core, and wake-ups across threads are expensive.
     let runtime = Builder::new_current_thread().enable_all().build();
     with_runtime(runtime, |runtime| {
         runtime.block_on(serve_node(&settings, file, dialect))
     })
 }
 
-/// Told to people as well as in the logs.
+/// Reports a failed start on standard error as well as in the log.
 fn not_started(reason: impl std::fmt::Display) -> ExitCode {
     eprintln!("coursestandd: not started: {reason}");
     error!(target: LOG, "not started: {reason}");
-    ExitCode::from(NOT_STARTED)
+    ExitCode::from(EXIT_NOT_STARTED)
 }
 
-fn valid(file: &Path) -> ExitCode {
+fn report_valid(file: &Path) -> ExitCode {
     println!("{}: the settings are valid", file.display());
     ExitCode::SUCCESS
 }
@@ -141,7 +138,7 @@
     }
 }
 
-/// Signals that ask the process to stop.
+/// The signals that request a stop.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -178,7 +175,7 @@
     info!(target: LOG, "a planned stop begins");
     tokio::select! {
         () = daemon.drain_and_stop() => {}
-        // A second signal ends the daemon at once.
+        // A second signal stops the daemon immediately.
         () = stop.next() => daemon.stop().await,
     }
     info!(target: LOG, "stopped");
@@ -204,7 +201,8 @@
         }
     }
     info!(target: LOG, "a planned stop begins");
-    // Whoever asks to stop repeats the signal; the stop has its own time-out.
+    // Further signals don't speed the stop up: supervisors repeat them, and the stop has its
+    // own time-out.
     node.drain_and_stop().await;
     info!(target: LOG, "stopped");
     ExitCode::SUCCESS
--- a/crates/coursestand-daemon/src/names.rs
+++ b/crates/coursestand-daemon/src/names.rs
@@ -1,4 +1,4 @@
-//! Names under which the services of a daemon find each other.
+//! Names under which the services of a daemon are registered.
 
 /// The replica of the control group.
 pub const CONTROL: &str = "control";
@@ -6,19 +6,19 @@
 pub const OPERATORS: &str = "operators";
 /// The duties of the leader of the control group.
 pub const LEADER: &str = "leader";
-/// Hub of the soft state of a fleet.
+/// The hub of a fleet's soft state.
 pub const HUB: &str = "hub";
-/// What operators, back ends and clients ask of a fleet's control processes.
+/// The HTTP interface of a fleet's control processes for operators, back ends and clients.
 pub const CONTROL_API: &str = "control-api";
 /// The fleet's request path.
 pub const EDGE: &str = "edge";
-/// The connection to the control group.
+/// The client for the control group.
 pub const CONTROL_CLIENT: &str = "control-client";
-/// Follows the control group.
+/// The service that follows the control group.
 pub const FOLLOWER: &str = "follower";
-/// Serves callers.
+/// The service for callers.
 pub const GATEWAY: &str = "gateway";
-/// Probes back ends.
+/// The service that probes back ends.
 pub const PROBER: &str = "prober";
-/// Reports demand and health to the control group.
+/// The service that reports demand and health to the control group.
 pub const REPORTER: &str = "reporter";
--- a/crates/coursestand-daemon/tests/leader_search.rs
+++ b/crates/coursestand-daemon/tests/leader_search.rs
@@ -67,7 +67,7 @@
     for _ in 0..3 {
         let asking = (0..3).map(|_| {
             let client = Arc::clone(&client);
-            tokio::spawn(async move { client.ask(&request(), ATTEMPT, DEADLINE).await })
+            tokio::spawn(async move { client.send(&request(), ATTEMPT, DEADLINE).await })
         });
         for asked in asking.collect::<Vec<_>>() {
             let reply = asked.await.expect("no panic");
--- a/crates/coursestand-lab/src/scale.rs
+++ b/crates/coursestand-lab/src/scale.rs
@@ -269,7 +269,7 @@
     let mut tables = Tables::default();
     while !traffic.stop.load(Ordering::Relaxed) {
         let message = ControlRequest::Follow(request.clone());
-        let answer = client.ask(&message, ATTEMPT, ATTEMPT).await;
+        let answer = client.send(&message, ATTEMPT, ATTEMPT).await;
         if let Ok(ControlReply::Follow(delta)) = answer {
             count(&traffic, &message);
             count(&traffic, &delta);
@@ -294,7 +294,7 @@
     });
     while !traffic.stop.load(Ordering::Relaxed) {
         tokio::time::sleep(REPORT_EVERY).await;
-        if client.ask(&message, ATTEMPT, ATTEMPT).await.is_ok() {
+        if client.send(&message, ATTEMPT, ATTEMPT).await.is_ok() {
             count(&traffic, &message);
         }
     }
