--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_distribution.rs
@@ -1,6 +1,6 @@
-//! What one control process sends to one daemon of the catalog: however it comes and goes,
-//! the daemon skips no change, and neither one large change nor many small ones take much
-//! of its link. 1,400 routes in one change had filled a daemon's link for five seconds.
+//! The catalog messages from one control process to one daemon: the daemon misses no change
+//! across lost connections, and neither one large change nor many small ones saturate its
+//! link. A change of 1,400 routes in one message occupies the link for five seconds.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
@@ -14,8 +14,8 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-/// A control process and one connection of a daemon with it. What is sent waits until
-/// the test lets the daemon read it.
+/// A control process, a daemon and the connection between them. Messages are queued until the
+/// test makes the daemon read them.
 struct Connection {
     catalog: Catalog,
     news: CatalogNews,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The daemon reads one message. Returns whether there was one.
+    /// Makes the daemon read one message. Returns whether there was one.
     fn read(&mut self) -> bool {
         let Some(message) = self.on_the_way.pop_front() else {
             return false;
@@ -116,9 +116,9 @@
         true
     }
 
-    /// The daemon has everything up to its version: the items that stand there are those
-    /// of the control process as of then.
-    fn skips_nothing(&self) -> bool {
+    /// Whether the daemon has every item up to its version: those that it lacks changed later
+    /// at the control process.
+    fn is_complete_up_to_its_version(&self) -> bool {
         let version = self.daemon.version();
         let known = self.daemon.standing().count();
         let changed_later = self.catalog.delta(version).items.len();
@@ -137,9 +137,9 @@
     Tell,
     Fetch,
     Read(usize),
-    /// The daemon got everything from another control process, and says so.
-    GotElsewhere,
-    /// The connection is made anew.
+    /// The daemon received all changes from another control process and confirms them.
+    SyncElsewhere,
+    /// The connection is lost and re-established.
     Reconnect,
 }
 
@@ -151,7 +151,7 @@
         Just(Step::Tell),
         Just(Step::Fetch),
         (1_usize..6).prop_map(Step::Read),
-        Just(Step::GotElsewhere),
+        Just(Step::SyncElsewhere),
         Just(Step::Reconnect),
     ]
 }
@@ -159,7 +159,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
     #[test]
-    fn a_daemon_skips_no_change(steps in prop::collection::vec(step(), 1..25)) {
+    fn a_daemon_misses_no_change(steps in prop::collection::vec(step(), 1..25)) {
         let mut connection = Connection::new();
         for step in steps {
             match step {
@@ -171,7 +171,7 @@
                         connection.read();
                     }
                 }
-                Step::GotElsewhere => {
+                Step::SyncElsewhere => {
                     let rest = connection.catalog.steering_delta(connection.daemon.version());
                     connection.daemon.adopt(rest);
                     connection.telling.note_have(connection.daemon.version());
@@ -182,9 +182,9 @@
                     connection.telling = CatalogTelling::new(connection.daemon.version());
                 }
             }
-            prop_assert!(connection.skips_nothing());
+            prop_assert!(connection.is_complete_up_to_its_version());
         }
-        // Asked to the end, it has everything.
+        // After a final fetch, the daemon has every item.
         while connection.read() {}
         connection.fetch();
         while connection.read() {}
@@ -200,13 +200,17 @@
     connection.add_routes(1_400);
     connection.sent_bytes = 0;
     connection.tell();
-    expect_that!(connection.sent_bytes, lt(16), "it is only told of");
+    expect_that!(
+        connection.sent_bytes,
+        lt(16),
+        "only its version is announced"
+    );
     connection.fetch();
-    // 0.14 s of a link of 2 Mbit/s.
-    const ON_THE_WAY: usize = 35_000;
+    // 0.14 s of a 2 Mbit/s link.
+    const MAX_UNREAD_BYTES: usize = 35_000;
     let mut read_bytes = 0;
     loop {
-        expect_that!(connection.sent_bytes - read_bytes, lt(ON_THE_WAY));
+        expect_that!(connection.sent_bytes - read_bytes, lt(MAX_UNREAD_BYTES));
         let Some(next) = connection.on_the_way.front() else {
             break;
         };
@@ -217,8 +221,8 @@
 }
 
 #[gtest]
-fn many_small_changes_are_told_together() {
-    /// A quarter of what 2 Mbit/s pass, and the daemon follows five control processes.
+fn many_small_changes_are_sent_together() {
+    /// Five control processes at this rate use a quarter of a 2 Mbit/s link.
     const BYTES_PER_SECOND: usize = 12_500;
     const CHANGES: usize = 1_400;
     let mut connection = Connection::new();
@@ -226,7 +230,7 @@
     connection.read();
     connection.sent_bytes = 0;
     let mut next_at_ms = 0;
-    let mut longest_behind = 0;
+    let mut max_lag = 0;
     for now_ms in 0..CHANGES as u64 {
         connection.add_routes(1);
         if now_ms >= next_at_ms {
@@ -235,14 +239,14 @@
         }
         while connection.read() {}
         let behind = connection.catalog.version() - connection.daemon.version();
-        longest_behind = behind.max(longest_behind);
+        max_lag = behind.max(max_lag);
     }
     expect_that!(
         connection.sent_bytes,
         lt(CHANGES * BYTES_PER_SECOND / 1_000)
     );
-    // From then on there is too much to be sent unasked: the daemon has to ask.
-    expect_that!(longest_behind, gt(100));
+    // With a larger lag, changes are sent only in reply to a request.
+    expect_that!(max_lag, gt(100));
     connection.fetch();
     while connection.read() {}
     expect_that!(connection.has_all(), eq(true));
--- a/crates/coursestand-daemon/tests/common/mod.rs
+++ b/crates/coursestand-daemon/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Daemons as real processes on loopback, beside an emulated world in the test.
+//! Daemons as real processes on loopback, with simulated back ends and callers in the test
+//! process.
 #![allow(dead_code, missing_docs)]
 
 use std::net::SocketAddr;
@@ -17,19 +18,19 @@
 use coursestand_model::settings::DaemonSettings;
 use tempfile::TempDir;
 
-/// Longest wait for anything; a condition ends it much earlier.
+/// Maximum wait for a condition; conditions are expected to hold much earlier.
 pub const WITHIN: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Fleet {
-    pub world: World,
+    pub simulation: World,
     pub settings: Vec<DaemonSettings>,
     pub operator: Operator,
     processes: Vec<Option<Child>>,
     folder: TempDir,
 }
 
-/// The hut firm's deployment with this many daemons and other changes.
+/// Returns the `hut` example deployment with this many daemons and further changes.
 pub fn deployment(
     daemons: usize,
     change: impl FnOnce(&mut Deployment),
@@ -42,7 +43,7 @@
     (deployment, addresses)
 }
 
-/// Logs of the daemons are shown when a level is asked for.
+/// Shows the daemons' logs if `COURSESTAND_TEST_LOG` sets a level.
 fn logs() -> Stdio {
     match std::env::var_os("COURSESTAND_TEST_LOG") {
         Some(_) => Stdio::inherit(),
@@ -51,19 +52,21 @@
 }
 
 impl Fleet {
-    /// Starts everything and puts the first bundle in force.
+    /// Starts back ends and daemons, and waits until the first bundle is in force.
     pub async fn start(daemons: usize, change: impl FnOnce(&mut Deployment)) -> Fleet {
         let (deployment, mut addresses) = deployment(daemons, change);
         let folder = tempfile::tempdir().expect("a folder");
         let mut settings = deployment.daemon_settings(&mut addresses, folder.path());
-        for one in &mut settings {
-            one.log_level = std::env::var("COURSESTAND_TEST_LOG").unwrap_or("error".to_owned());
+        for daemon in &mut settings {
+            daemon.log_level = std::env::var("COURSESTAND_TEST_LOG").unwrap_or("error".to_owned());
         }
-        let world = World::start(deployment).await.expect("the world starts");
+        let simulation = World::start(deployment)
+            .await
+            .expect("the simulation starts");
         let operator = test_operator(&settings);
         let processes = settings.iter().map(|_| None).collect();
         let mut fleet = Fleet {
-            world,
+            simulation,
             settings,
             operator,
             processes,
@@ -73,7 +76,7 @@
             fleet.start_daemon(index);
         }
         fleet.until_listening().await;
-        put_first_bundle_in_force(&fleet.operator, &fleet.world.deployment, daemons)
+        put_first_bundle_in_force(&fleet.operator, &fleet.simulation.deployment, daemons)
             .await
             .expect("the first bundle is in force");
         fleet
@@ -115,7 +118,7 @@
         assert!(status.expect("kill runs").success());
     }
 
-    /// SIGKILL.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.processes[index].take() {
             child.kill().expect("killed");
@@ -123,13 +126,13 @@
         }
     }
 
-    /// SIGTERM; returns whether it ended well.
+    /// Stops a daemon with SIGTERM. Returns whether it exited successfully.
     pub async fn stop(&mut self, index: usize) -> bool {
         self.signal(index, "-TERM");
         self.reap(index).await
     }
 
-    /// Waits for a daemon that was told to end; returns whether it ended well.
+    /// Waits until a daemon that received a signal exits. Returns whether it succeeded.
     pub async fn reap(&mut self, index: usize) -> bool {
         let mut child = self.processes[index].take().expect("runs");
         let waited = tokio::task::spawn_blocking(move || child.wait());
@@ -138,7 +141,7 @@
         status.expect("waited").success()
     }
 
-    /// The control replica that leads.
+    /// Returns the index of the daemon whose control replica leads.
     pub async fn leader(&self) -> usize {
         let address = self.operator.leader(WITHIN).await.expect("a leader");
         self.settings
@@ -156,7 +159,7 @@
     }
 
     pub fn caller(&self) -> Arc<Caller> {
-        Arc::new(self.world.caller(&self.settings))
+        Arc::new(self.simulation.caller(&self.settings))
     }
 
     pub async fn load(&self, run: &str, rate: f64, seconds: u64) -> Vec<Finished> {
@@ -167,7 +170,7 @@
             seed: 11,
             run: run.to_owned(),
         };
-        run_load(&self.world.deployment, self.caller(), &plan, |_| {}).await
+        run_load(&self.simulation.deployment, self.caller(), &plan, |_| {}).await
     }
 
     pub async fn order(&self, action: OrderAction) -> u64 {
@@ -191,7 +194,7 @@
             .expect("in force")
     }
 
-    /// The part of the state dump of one service of one daemon.
+    /// Returns the part of one service in the state dump of one daemon.
     pub async fn dump(&self, index: usize, service: &str) -> serde_json::Value {
         let url = format!("http://{}/state", self.settings[index].admin_listen);
         match reqwest::get(url).await {
@@ -204,28 +207,28 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for child in self.processes.iter_mut().flatten() {
-            // Ended already, or ended now.
+            // Fails if the daemon has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Waits for a condition under a generous bound.
+/// Waits until a condition holds, for at most [`WITHIN`].
 pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
     let end = Instant::now() + WITHIN;
     while !condition().await {
-        assert!(Instant::now() < end, "in vain: {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(Instant::now() < end, "timed out waiting until: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints what callers and back ends saw, for a failing test.
+/// Describes what callers and back ends observed, for the message of a failing test.
 pub fn describe(fleet: &Fleet, finished: &[Finished]) -> String {
-    let records = fleet.world.records.all();
+    let records = fleet.simulation.records.all();
     let figures =
-        coursestand_lab::report::figures(&fleet.world.deployment.bundle, finished, &records);
-    let shed: String = records
+        coursestand_lab::report::figures(&fleet.simulation.deployment.bundle, finished, &records);
+    let shed_requests: String = records
         .iter()
         .filter(|record| record.ending == Ending::Shed)
         .map(|record| {
@@ -239,5 +242,5 @@
             format!("\n{started_ms} ms: {request_id} at {backend}, {running} running")
         })
         .collect();
-    format!("{figures}\nrequests shed by a full back end:{shed}")
+    format!("{figures}\nrequests shed by a full back end:{shed_requests}")
 }
--- a/crates/coursestand-daemon/tests/control_group.rs
+++ b/crates/coursestand-daemon/tests/control_group.rs
@@ -1,5 +1,5 @@
-//! The control group as real processes: kills, freezes, lost data folders,
-//! racing operators and daemons that were down for long.
+//! The control group as real processes: killed and suspended replicas, lost data folders,
+//! concurrent submissions and daemons that were down for a long time.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,20 +13,20 @@
 use coursestand_model::Bundle;
 use googletest::prelude::*;
 
-fn drain_of(name: &str) -> OrderAction {
+fn drain_order(name: &str) -> OrderAction {
     let target = DrainTarget::Backend(name.into());
     OrderAction::Drain { target }
 }
 
-fn version(fleet: &Fleet, version: u64) -> Bundle {
+fn bundle_version(fleet: &Fleet, version: u64) -> Bundle {
     Bundle {
         version,
-        ..fleet.world.deployment.bundle.clone()
+        ..fleet.simulation.deployment.bundle.clone()
     }
 }
 
-/// Every daemon shows the newest revision.
-async fn all_agree(fleet: &Fleet, revision: u64) {
+/// Waits until every daemon has `revision` in force.
+async fn wait_for_revision(fleet: &Fleet, revision: u64) {
     for index in 0..fleet.settings.len() {
         until("every daemon has the revision", || async {
             fleet.dump(index, "follower").await["revision"] == revision
@@ -37,35 +37,46 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_and_a_frozen_leader_lose_nothing_accepted() {
+async fn killed_and_suspended_leaders_lose_no_accepted_change() {
     let mut fleet = Fleet::start(5, |_| {}).await;
     let mut accepted = vec![1];
     for round in 0..2 {
         let leader = fleet.leader().await;
-        accepted.push(fleet.order(drain_of(&format!("killed-{round}"))).await);
+        accepted.push(fleet.order(drain_order(&format!("killed-{round}"))).await);
         fleet.kill(leader);
-        accepted.push(fleet.order(drain_of(&format!("after-kill-{round}"))).await);
+        accepted.push(
+            fleet
+                .order(drain_order(&format!("after-kill-{round}")))
+                .await,
+        );
         fleet.start_daemon(leader);
         fleet.until_in_force(5).await;
 
         let leader = fleet.leader().await;
         fleet.signal(leader, "-STOP");
-        // The frozen leader answers nobody; the others go on without it.
-        accepted.push(fleet.order(drain_of(&format!("frozen-{round}"))).await);
+        // The suspended leader does not answer; the other replicas elect a new leader.
+        accepted.push(
+            fleet
+                .order(drain_order(&format!("suspended-{round}")))
+                .await,
+        );
         fleet.signal(leader, "-CONT");
-        until("the frozen leader sees that it no longer leads", || async {
-            let status = fleet
-                .operator
-                .status_of(fleet.operator_address(leader))
-                .await;
-            status.is_ok_and(|status| !status.leads)
-        })
+        until(
+            "the resumed leader detects that its lease has expired",
+            || async {
+                let status = fleet
+                    .operator
+                    .status_of(fleet.operator_address(leader))
+                    .await;
+                status.is_ok_and(|status| !status.leads)
+            },
+        )
         .await;
         fleet.until_in_force(5).await;
     }
     let expected: Vec<u64> = (1..=accepted.len() as u64).collect();
     expect_that!(accepted, eq(&expected));
-    all_agree(&fleet, *accepted.last().expect("some")).await;
+    wait_for_revision(&fleet, *accepted.last().expect("some")).await;
     expect_that!(
         fleet.operator.history().await.expect("history").len(),
         eq(accepted.len())
@@ -74,9 +85,9 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn accepted_changes_survive_a_restart_of_all() {
+async fn accepted_changes_survive_a_restart_of_all_daemons() {
     let mut fleet = Fleet::start(4, |_| {}).await;
-    let revision = fleet.order(drain_of("one")).await;
+    let revision = fleet.order(drain_order("one")).await;
     for index in 0..4 {
         fleet.kill(index);
     }
@@ -86,14 +97,14 @@
     fleet.operator.leader(WITHIN).await.expect("a leader");
     let status = fleet.until_in_force(4).await;
     expect_that!(status.revision, eq(revision));
-    all_agree(&fleet, revision).await;
+    wait_for_revision(&fleet, revision).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_data_folders_are_replaced_one_after_the_other() {
+async fn replicas_with_lost_data_folders_are_replaced_one_by_one() {
     let mut fleet = Fleet::start(4, |_| {}).await;
-    let mut revision = fleet.order(drain_of("before")).await;
+    let mut revision = fleet.order(drain_order("before")).await;
     let mut identities = [1_u64, 2, 3];
     for lost in [0, 1, 2] {
         fleet.kill(lost);
@@ -107,7 +118,9 @@
         .await;
         let blank = fleet.operator.status_of(address).await.expect("status");
         expect_that!(blank.replica["role"].as_str(), eq(Some("blank")));
-        revision = fleet.order(drain_of(&format!("while-blank-{lost}"))).await;
+        revision = fleet
+            .order(drain_order(&format!("while-blank-{lost}")))
+            .await;
         let leader = fleet.operator.status().await.expect("status");
         let cluster = leader.replica["identity"]["cluster"]
             .as_u64()
@@ -123,11 +136,11 @@
             .await
             .expect("replaced");
         identities[lost] = replica;
-        // The next one is lost right after this repair.
+        // The next data folder is lost right after this replacement.
     }
     let status = fleet.until_in_force(4).await;
     expect_that!(status.revision, eq(revision));
-    let after = fleet.order(drain_of("after")).await;
+    let after = fleet.order(drain_order("after")).await;
     expect_that!(after, eq(revision + 1));
     let members = status.replica["members"].as_array().expect("members").len();
     expect_that!(members, eq(3));
@@ -135,16 +148,16 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_get_one_winner_and_resends_the_first_answer() {
+async fn of_concurrent_submissions_one_is_accepted_and_resends_get_the_first_answer() {
     let fleet = Fleet::start(3, |_| {}).await;
     for round in 0..5_u64 {
         let current = round + 1;
-        let mut one = version(&fleet, 10 + round);
-        one.lookup.lifetime_ms = 1_100;
-        let mut other = version(&fleet, 10 + round);
-        other.lookup.lifetime_ms = 1_200;
-        let signed =
-            [&one, &other].map(|bundle| fleet.operator.sign_bundle(bundle).expect("signed"));
+        let mut first_bundle = bundle_version(&fleet, 10 + round);
+        first_bundle.lookup.lifetime_ms = 1_100;
+        let mut second_bundle = bundle_version(&fleet, 10 + round);
+        second_bundle.lookup.lifetime_ms = 1_200;
+        let signed = [&first_bundle, &second_bundle]
+            .map(|bundle| fleet.operator.sign_bundle(bundle).expect("signed"));
         let submit = |index: usize| {
             let bundle = signed[index].clone();
             let name = format!("race-{round}-{index}");
@@ -163,7 +176,7 @@
             .filter(|answer| matches!(answer, SubmitAnswer::Conflict { .. }))
             .count();
         expect_that!(conflicts, eq(1), "{answers:?}");
-        // Answers that were lost: both send again.
+        // Simulates lost answers: both operators resend.
         for index in [0, 1] {
             let again = submit(index).await.expect("an answer");
             expect_that!(again == accepted, eq(answers[index] == accepted));
@@ -184,7 +197,7 @@
     fleet.kill(3);
     let mut revision = 0;
     for change in 0..500 {
-        revision = fleet.order(drain_of(&format!("change-{change}"))).await;
+        revision = fleet.order(drain_order(&format!("change-{change}"))).await;
     }
     fleet.start_daemon(3);
     until("the daemon has caught up", || async {
@@ -196,17 +209,17 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_quorum_daemons_stop_deciding_and_show_it() {
+async fn without_a_quorum_daemons_reject_requests_and_report_not_ready() {
     let mut fleet = Fleet::start(4, |_| {}).await;
     fleet.kill(0);
     fleet.kill(1);
-    until("the last replica shows that it is cut off", || async {
+    until("the last replica reports that it is not ready", || async {
         let url = format!("http://{}/health", fleet.settings[2].admin_listen);
         let answer = reqwest::get(url).await;
         answer.is_ok_and(|answer| answer.status().as_u16() == 503)
     })
     .await;
-    until("the daemon refuses to decide on old rules", || async {
+    until("the daemon rejects requests on outdated rules", || async {
         let entry = fleet.settings[3]
             .entry_role
             .as_ref()
--- a/crates/coursestand-daemon/tests/follower_metrics.rs
+++ b/crates/coursestand-daemon/tests/follower_metrics.rs
@@ -1,12 +1,12 @@
-//! A daemon's metrics were compared with the operators' page before control had told it
-//! anything, and one was missing: a counter by kind is served only once a kind is counted.
+//! Guards against metrics that are missing until their first event: a labelled counter is
+//! exported only once one of its labels exists.
 #![allow(missing_docs)]
 
 use coursestand_daemon::fleet::follower_metrics::FollowerMetrics;
 use googletest::prelude::*;
 
 #[gtest]
-fn all_are_served_before_anything_was_counted() {
+fn all_metrics_are_exported_before_the_first_event() {
     let registry = prometheus::Registry::new();
     let _metrics = FollowerMetrics::new(&registry).expect("metrics");
     let families = registry.gather();
--- a/crates/coursestand-daemon/tests/instance_starts.rs
+++ b/crates/coursestand-daemon/tests/instance_starts.rs
@@ -1,5 +1,5 @@
-//! Processes that know when incarnations of back ends started work side by side with
-//! processes that don't: each reads what the other sends.
+//! Compatibility of `ToEdge::Instances` between processes that send the start times of back
+//! ends and earlier versions that don't: each decodes the other's messages.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The message as processes without starts have it, at its place among the others.
+/// `ToEdge` in versions without start times. `Instances` has the same position.
 #[derive(Debug, Serialize, Deserialize)]
 enum Before {
     Pong,
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn starts_arrive_with_their_news() {
+fn start_times_are_decoded_with_their_updates() {
     let told = vec![news(Some(1_796_259_000_123)), news(None)];
     let message = ToEdge::Instances(told.clone(), Starts::of(&told));
     let frame = encode(&message).expect("encoded");
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn a_process_of_before_reads_news_without_their_starts() {
+fn earlier_versions_decode_updates_without_start_times() {
     let told = vec![news(Some(1_796_259_000_123))];
     let frame = encode(&ToEdge::Instances(told.clone(), Starts::of(&told))).expect("encoded");
     let Before::Instances(read) = decode(&frame).expect("read") else {
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn news_of_a_process_of_before_tell_no_starts() {
+fn updates_of_earlier_versions_have_no_start_times() {
     let frame = encode(&Before::Instances(vec![news(None)])).expect("encoded");
     let ToEdge::Instances(read, starts) = decode(&frame).expect("read") else {
         panic!("another message");
--- a/crates/coursestand-daemon/tests/leader_search.rs
+++ b/crates/coursestand-daemon/tests/leader_search.rs
@@ -1,5 +1,5 @@
-//! A daemon finds the leader past a replica that is gone, however many of its
-//! requests are under way.
+//! Guards against concurrent requests that skip the leader: each of them moved the shared
+//! position past an unreachable replica, so that together they came back to it.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 use coursestand_transport::{Handler, Server};
 use googletest::prelude::*;
 
-const ATTEMPT: Duration = Duration::from_millis(300);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 const DEADLINE: Duration = Duration::from_secs(10);
 
-/// A replica that leads.
-struct Leading;
+/// A replica that is the leader.
+struct LeaderReplica;
 
-impl Handler<ControlRequest, ControlReply> for Leading {
+impl Handler<ControlRequest, ControlReply> for LeaderReplica {
     async fn handle(&self, _: ControlRequest) -> ControlReply {
         ControlReply::Done
     }
 }
 
-/// A replica that does not know who leads; counts who asks it.
+/// A replica that doesn't know the leader and counts its requests.
 #[derive(Default)]
-struct Following {
-    asked: AtomicUsize,
+struct FollowerReplica {
+    received: AtomicUsize,
 }
 
-impl Handler<ControlRequest, ControlReply> for Following {
+impl Handler<ControlRequest, ControlReply> for FollowerReplica {
     async fn handle(&self, _: ControlRequest) -> ControlReply {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.received.fetch_add(1, Ordering::Relaxed);
         ControlReply::NotLeader(None)
     }
 }
@@ -54,27 +54,26 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn many_requests_at_once_do_not_skip_the_leader_together() {
-    // Nobody listens at the first address; the leader is the second.
-    let (gone, leader, other) = (free_address(), free_address(), free_address());
-    let _leading = Server::start(leader, 16, Arc::new(Leading)).expect("listens");
-    let following = Arc::new(Following::default());
+async fn concurrent_requests_do_not_skip_the_leader() {
+    // No server listens at the first address; the leader is at the second.
+    let (unreachable, leader, other) = (free_address(), free_address(), free_address());
+    let _leading = Server::start(leader, 16, Arc::new(LeaderReplica)).expect("listens");
+    let following = Arc::new(FollowerReplica::default());
     let _following = Server::start(other, 16, Arc::clone(&following)).expect("listens");
-    // As many as there are replicas: when each goes on by one for itself, all
-    // together come back to the replica that is gone, and later requests begin
-    // there again.
-    let client = Arc::new(ControlClient::new(&[gone, leader, other]).expect("a client"));
+    // As many concurrent requests as replicas: if each advanced the position separately, it
+    // would come back to the unreachable replica, and later requests would start there.
+    let client = Arc::new(ControlClient::new(&[unreachable, leader, other]).expect("a client"));
     for _ in 0..3 {
-        let asking = (0..3).map(|_| {
+        let requests = (0..3).map(|_| {
             let client = Arc::clone(&client);
-            tokio::spawn(async move { client.send(&request(), ATTEMPT, DEADLINE).await })
+            tokio::spawn(async move { client.send(&request(), ATTEMPT_TIMEOUT, DEADLINE).await })
         });
-        for asked in asking.collect::<Vec<_>>() {
-            let reply = asked.await.expect("no panic");
+        for request in requests.collect::<Vec<_>>() {
+            let reply = request.await.expect("no panic");
             expect_that!(reply.is_ok(), eq(true));
         }
         expect_that!(client.current_address(), eq(leader));
     }
-    // Nobody passed the leader by.
-    expect_that!(following.asked.load(Ordering::Relaxed), eq(0));
+    // No request skipped the leader.
+    expect_that!(following.received.load(Ordering::Relaxed), eq(0));
 }
--- a/crates/coursestand-daemon/tests/program.rs
+++ b/crates/coursestand-daemon/tests/program.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program: checked settings and clear failures to start.
+//! The daemon as a program: validation of settings and reported failures to start.
 #![allow(missing_docs)]
 
 use std::net::TcpListener;
@@ -7,8 +7,8 @@
 
 use googletest::prelude::*;
 
-const BAD_SETTINGS: i32 = 2;
-const NOT_STARTED: i32 = 1;
+const EXIT_INVALID_SETTINGS: i32 = 2;
+const EXIT_NOT_STARTED: i32 = 1;
 
 fn daemon(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_coursestandd"))
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn settings_are_checked_with_file_field_found_and_allowed() {
+fn settings_errors_name_file_field_value_and_allowed_values() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("settings.json").display().to_string();
     std::fs::write(&file, example()).expect("written");
@@ -31,7 +31,7 @@
         daemon(&["--settings", &file, "--check"]).status.code(),
         eq(Some(0))
     );
-    for (from, to, signs) in [
+    for (from, to, fragments) in [
         ("\"info\"", "\"loud\"", ["log_level", "found loud"]),
         (
             "\"stop_ms\"",
@@ -52,18 +52,18 @@
         std::fs::write(&file, example().replacen(from, to, 1)).expect("written");
         let output = daemon(&["--settings", &file, "--check"]);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        expect_that!(output.status.code(), eq(Some(BAD_SETTINGS)));
+        expect_that!(output.status.code(), eq(Some(EXIT_INVALID_SETTINGS)));
         expect_that!(text, contains_substring(file.as_str()));
-        for sign in signs {
-            expect_that!(text, contains_substring(sign));
+        for fragment in fragments {
+            expect_that!(text, contains_substring(fragment));
         }
     }
 }
 
 #[gtest]
-fn a_port_in_use_is_told_and_nothing_starts() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address").to_string();
+fn a_port_in_use_is_reported_and_nothing_starts() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
     let mut settings: serde_json::Value = serde_json::from_str(&example()).expect("JSON");
     settings["entry_role"]["listen"] = address.clone().into();
     settings["admin_listen"] = "127.0.0.1:0".into();
@@ -71,7 +71,7 @@
     let file = folder.path().join("settings.json").display().to_string();
     std::fs::write(&file, settings.to_string()).expect("written");
     let output = daemon(&["--settings", &file]);
-    expect_that!(output.status.code(), eq(Some(NOT_STARTED)));
+    expect_that!(output.status.code(), eq(Some(EXIT_NOT_STARTED)));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     expect_that!(
         text,
@@ -94,14 +94,14 @@
 }
 
 #[gtest]
-fn settings_of_a_fleet_are_checked_with_file_field_found_and_allowed() {
+fn fleet_settings_errors_name_file_field_value_and_allowed_values() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fleet.json").display().to_string();
-    let whole = fleet_settings().to_string();
-    std::fs::write(&file, &whole).expect("written");
+    let valid = fleet_settings().to_string();
+    std::fs::write(&file, &valid).expect("written");
     let check = |file: &str| daemon(&["--fleet", file, "--check"]);
     expect_that!(check(&file).status.code(), eq(Some(0)));
-    for (from, to, signs) in [
+    for (from, to, fragments) in [
         (
             "\"1500ms\"",
             "\"1500\"",
@@ -115,17 +115,17 @@
         ("[\"127.0.0.1:8544\"]", "[]", ["seeds", "found no address"]),
         ("\"edge\":", "\"edgy\":", ["edgy", "expected one of"]),
     ] {
-        std::fs::write(&file, whole.replacen(from, to, 1)).expect("written");
+        std::fs::write(&file, valid.replacen(from, to, 1)).expect("written");
         let output = check(&file);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        expect_that!(output.status.code(), eq(Some(BAD_SETTINGS)));
+        expect_that!(output.status.code(), eq(Some(EXIT_INVALID_SETTINGS)));
         expect_that!(text, contains_substring(file.as_str()));
-        for sign in signs {
-            expect_that!(text, contains_substring(sign));
+        for fragment in fragments {
+            expect_that!(text, contains_substring(fragment));
         }
     }
     let missing = daemon(&["--fleet", "/not/there.json"]);
-    expect_that!(missing.status.code(), eq(Some(BAD_SETTINGS)));
+    expect_that!(missing.status.code(), eq(Some(EXIT_INVALID_SETTINGS)));
     let text = String::from_utf8_lossy(&missing.stderr).into_owned();
     expect_that!(text, contains_substring("/not/there.json"));
 }
--- a/crates/coursestand-daemon/tests/reload.rs
+++ b/crates/coursestand-daemon/tests/reload.rs
@@ -1,5 +1,5 @@
-//! The seeds of a changed settings file are taken over, with a signal or without;
-//! a file that can't be used changes nothing.
+//! The seeds of a changed settings file are applied, with a signal or without. An invalid
+//! or missing file changes nothing.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
 
 async fn wait_for(seeds: &mut watch::Receiver<Vec<SocketAddr>>, seed: &str) {
     let seed: SocketAddr = seed.parse().expect("an address");
-    let is_there = |seeds: &Vec<SocketAddr>| seeds.contains(&seed);
-    tokio::time::timeout(WITHIN, seeds.wait_for(is_there))
+    let has_seed = |seeds: &Vec<SocketAddr>| seeds.contains(&seed);
+    tokio::time::timeout(WITHIN, seeds.wait_for(has_seed))
         .await
         .expect("in time")
         .expect("followed");
@@ -38,24 +38,24 @@
 
 #[gtest]
 #[tokio::test]
-async fn seeds_change_with_the_file_and_bad_files_change_nothing() {
+async fn seeds_follow_the_file_and_invalid_files_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fleet.json");
     std::fs::write(&file, settings("10.0.0.1:8544")).expect("written");
     let reload = Arc::new(Notify::new());
     let (sender, mut seeds) = watch::channel(Vec::new());
     let following = tokio::spawn(follow_file(file.clone(), Arc::clone(&reload), sender));
-    // With a signal. Its first look is at the file as it was.
+    // With a signal. The follower first reads the original file.
     tokio::task::yield_now().await;
     std::fs::write(&file, settings("10.0.0.2:8544")).expect("written");
     reload.notify_one();
     wait_for(&mut seeds, "10.0.0.2:7540").await;
-    // Cut short, then gone: told in the log, and nothing else.
+    // Truncated, then missing: logged without further effect.
     std::fs::write(&file, &settings("10.0.0.3:8544")[..40]).expect("written");
     reload.notify_one();
     std::fs::remove_file(&file).expect("removed");
     reload.notify_one();
-    // Whole again, and without a signal.
+    // Valid again, without a signal.
     std::fs::write(&file, settings("10.0.0.4:8544")).expect("written");
     wait_for(&mut seeds, "10.0.0.4:7540").await;
     following.abort();
--- a/crates/coursestand-daemon/tests/request_path.rs
+++ b/crates/coursestand-daemon/tests/request_path.rs
@@ -1,6 +1,6 @@
-//! The request path as real processes: kills, freezes, planned stops, leaving
-//! back ends and requests that run at most once, measured at the back ends' own
-//! records.
+//! The request path as real processes: killed and suspended daemons, planned stops, leaving
+//! back ends and requests that run at most once, checked against the records of the back
+//! ends.
 #![allow(missing_docs)]
 
 mod common;
@@ -16,7 +16,7 @@
 use coursestand_model::headers;
 use googletest::prelude::*;
 
-/// Runs `load` and, after `delay`, `fault`; returns what callers found.
+/// Generates load and, after `delay`, injects `fault`. Returns the results of the callers.
 async fn load_with_fault(
     fleet: &mut Fleet,
     seconds: u64,
@@ -24,7 +24,7 @@
     fault: impl AsyncFnOnce(&mut Fleet),
 ) -> Vec<Finished> {
     let caller = fleet.caller();
-    let deployment = fleet.world.deployment.clone();
+    let deployment = fleet.simulation.deployment.clone();
     let plan = coursestand_lab::load::LoadPlan {
         rate: 120.0,
         duration: Duration::from_secs(seconds),
@@ -40,17 +40,17 @@
     load.await.expect("the load ends")
 }
 
-/// Connections of one daemon to one back end: slots in use, idle ones, a probe.
+/// Maximum number of connections of one daemon to one back end: 4 in use, 4 idle, 1 probe.
 const CONNECTIONS_PER_DAEMON: u32 = 4 + 4 + 1;
 
-fn assert_kept(fleet: &Fleet, finished: &[Finished]) {
-    let records = fleet.world.records.all();
+fn assert_guarantees(fleet: &Fleet, finished: &[Finished]) {
+    let records = fleet.simulation.records.all();
     let verdict = check(finished, &records);
     assert!(verdict.is_good(), "{}", describe(fleet, finished));
     let connections = records.iter().map(|record| record.connections).max();
-    let most = CONNECTIONS_PER_DAEMON * fleet.settings.len() as u32;
+    let max_connections = CONNECTIONS_PER_DAEMON * fleet.settings.len() as u32;
     assert!(
-        connections.unwrap_or(0) <= most,
+        connections.unwrap_or(0) <= max_connections,
         "{connections:?} connections"
     );
 }
@@ -58,25 +58,25 @@
 fn count(finished: &[Finished], finding: &Finding) -> usize {
     finished
         .iter()
-        .filter(|one| one.finding == *finding)
+        .filter(|request| request.finding == *finding)
         .count()
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_daemon_and_a_killed_leader_break_no_promise() {
+async fn a_killed_daemon_and_a_killed_leader_violate_no_guarantee() {
     let mut fleet = Fleet::start(7, |_| {}).await;
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 8, delay, async |fleet| {
         fleet.kill(6);
         let leader = fleet.leader().await;
         fleet.kill(leader);
-        // Both at once, and the second time right after the first.
+        // Both are down at the same time and restart without delay.
         fleet.start_daemon(leader);
         fleet.start_daemon(6);
     })
     .await;
-    assert_kept(&fleet, &finished);
+    assert_guarantees(&fleet, &finished);
     let answered = count(&finished, &Finding::Answered);
     expect_that!(
         answered * 10,
@@ -88,7 +88,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_daemon_wakes_up_and_breaks_no_promise() {
+async fn a_resumed_daemon_violates_no_guarantee() {
     let mut fleet = Fleet::start(6, |deployment| {
         for service in &mut deployment.bundle.services {
             service.deadline_ms = 2_000;
@@ -98,12 +98,12 @@
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 14, delay, async |fleet| {
         fleet.signal(5, "-STOP");
-        // Longer than its lease and the longest request: its slots go to others.
+        // Longer than its lease and the longest request: its slots are reassigned.
         tokio::time::sleep(Duration::from_secs(8)).await;
         fleet.signal(5, "-CONT");
     })
     .await;
-    assert_kept(&fleet, &finished);
+    assert_guarantees(&fleet, &finished);
 }
 
 /// Sends requests directly to one daemon, one at a time, until `end`. Returns the number
@@ -137,7 +137,7 @@
     duration: Duration,
 ) -> Vec<tokio::task::JoinHandle<usize>> {
     let end = Instant::now() + duration;
-    let zones = fleet.world.deployment.zones().len();
+    let zones = fleet.simulation.deployment.zones().len();
     let mut tasks = Vec::new();
     for daemon in daemons {
         let entry = fleet.settings[daemon]
@@ -163,119 +163,137 @@
     sum
 }
 
-/// Guards against a daemon that wakes up, gets a lease and uses slots that were reassigned
-/// to other daemons while it was frozen.
+/// Guards against a daemon that is resumed, is granted a lease and uses slots that were
+/// reassigned to other daemons while it was suspended.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_woken_daemon_uses_no_reassigned_slots() {
+async fn a_resumed_daemon_uses_no_reassigned_slots() {
     let fleet = Fleet::start(6, |deployment| {
         for service in &mut deployment.bundle.services {
             service.deadline_ms = 1_000;
         }
     })
     .await;
-    // Makes the allocator assign slots to the daemon before it is frozen.
+    // Makes the allocator assign slots to the daemon before it is suspended.
     total_answered(send_to_daemons(&fleet, 5..6, Duration::from_secs(2))).await;
     fleet.signal(5, "-STOP");
     // Longer than the daemon's lease, the longest request and the wait of its last long poll.
     tokio::time::sleep(Duration::from_millis(6_500)).await;
     let other_senders = send_to_daemons(&fleet, 0..5, Duration::from_secs(5));
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let woken_senders = send_to_daemons(&fleet, 5..6, Duration::from_secs(2));
+    let resumed_senders = send_to_daemons(&fleet, 5..6, Duration::from_secs(2));
     fleet.signal(5, "-CONT");
-    let answered_by_woken = total_answered(woken_senders).await;
+    let answered_by_resumed = total_answered(resumed_senders).await;
     let answered_by_others = total_answered(other_senders).await;
-    expect_that!(answered_by_woken, gt(0));
+    expect_that!(answered_by_resumed, gt(0));
     expect_that!(answered_by_others, gt(0));
-    assert_kept(&fleet, &[]);
+    assert_guarantees(&fleet, &[]);
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_request_off() {
+async fn a_planned_stop_interrupts_no_request() {
     let mut fleet = Fleet::start(6, |_| {}).await;
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 7, delay, async |fleet| {
-        assert!(fleet.stop(5).await, "the daemon ends well");
+        assert!(fleet.stop(5).await, "the daemon exits successfully");
         let leader = fleet.leader().await;
-        assert!(fleet.stop(leader).await, "the leader ends well");
+        assert!(fleet.stop(leader).await, "the leader exits successfully");
     })
     .await;
-    assert_kept(&fleet, &finished);
-    let cut = finished.iter().filter(|one| one.any_unknown).count();
-    expect_that!(cut, eq(0), "{}", describe(&fleet, &finished));
+    assert_guarantees(&fleet, &finished);
+    let interrupted = finished
+        .iter()
+        .filter(|request| request.any_unknown)
+        .count();
+    expect_that!(interrupted, eq(0), "{}", describe(&fleet, &finished));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_back_end_gets_no_new_work_and_keeps_what_it_has() {
+async fn a_leaving_back_end_gets_no_new_requests_and_completes_its_own() {
     let mut fleet = Fleet::start(5, |_| {}).await;
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 8, delay, async |fleet| {
         for index in [0, 21, 36] {
-            fleet.world.backends[index].leave();
+            fleet.simulation.backends[index].leave();
         }
-        // The platform list tells of it later, and with a row that lags.
+        // The platform list announces it later, with an outdated row.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        fleet.world.tell_platform();
+        fleet.simulation.tell_platform();
     })
     .await;
-    assert_kept(&fleet, &finished);
-    let cut = finished.iter().filter(|one| one.any_unknown).count();
-    expect_that!(cut, eq(0), "{}", describe(&fleet, &finished));
+    assert_guarantees(&fleet, &finished);
+    let interrupted = finished
+        .iter()
+        .filter(|request| request.any_unknown)
+        .count();
+    expect_that!(interrupted, eq(0), "{}", describe(&fleet, &finished));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_back_ends_break_no_promise() {
+async fn killed_back_ends_violate_no_guarantee() {
     let mut fleet = Fleet::start(5, |_| {}).await;
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 8, delay, async |fleet| {
         for index in [1, 7, 22, 37] {
-            fleet.world.backends[index].kill();
+            fleet.simulation.backends[index].kill();
         }
     })
     .await;
-    assert_kept(&fleet, &finished);
+    assert_guarantees(&fleet, &finished);
 }
 
-/// Requests of the clients nearest to one daemon that take long.
+/// Sends long requests from clients in the zone of one daemon. Returns their results.
 async fn long_requests(fleet: &Fleet, daemon: usize, token: &str) -> Vec<Finished> {
-    let zones = fleet.world.deployment.zones();
-    let own = &fleet.settings[daemon].zone;
-    let zone = zones.iter().position(|zone| zone == own).expect("known");
+    let zones = fleet.simulation.deployment.zones();
+    let daemon_zone = &fleet.settings[daemon].zone;
+    let zone = zones
+        .iter()
+        .position(|zone| zone == daemon_zone)
+        .expect("known");
     let caller = fleet.caller();
     let tasks: Vec<_> = (1..=12_u16)
         .map(|number| {
             let client = Deployment::client_address(zone, number);
             let patience = Duration::from_secs(20);
-            let mut one = errand("bunkview", client, &format!("{token}-{number}"), patience);
-            one.work_ms = Some(800);
+            let mut request = errand("bunkview", client, &format!("{token}-{number}"), patience);
+            request.work_ms = Some(800);
             let caller = std::sync::Arc::clone(&caller);
-            tokio::spawn(async move { caller.run(one, std::time::Instant::now()).await })
+            tokio::spawn(async move { caller.run(request, std::time::Instant::now()).await })
         })
         .collect();
     let mut finished = Vec::new();
     for task in tasks {
-        finished.push(task.await.expect("the errand ends"));
+        finished.push(task.await.expect("the request ends"));
     }
     finished
 }
 
-/// The check of planned stops can fail: a kill in place of a stop cuts requests.
+/// Shows that the check of planned stops can fail: a kill instead of a stop interrupts
+/// requests.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_waits_for_long_requests_and_a_kill_is_seen_to_cut_them() {
+async fn a_stop_waits_for_long_requests_and_a_kill_interrupts_them() {
     let mut fleet = Fleet::start(6, |_| {}).await;
-    for (daemon, kills) in [(4, false), (5, true)] {
+    for (daemon, is_killed) in [(4, false), (5, true)] {
         let token = format!("long-{daemon}");
         let signal = async {
             tokio::time::sleep(Duration::from_millis(400)).await;
-            fleet.signal(daemon, if kills { "-KILL" } else { "-TERM" });
+            fleet.signal(daemon, if is_killed { "-KILL" } else { "-TERM" });
         };
         let (finished, ()) = tokio::join!(long_requests(&fleet, daemon, &token), signal);
-        let cut = finished.iter().filter(|one| one.any_unknown).count();
-        expect_that!(cut > 0, eq(kills), "{}", describe(&fleet, &finished));
+        let interrupted = finished
+            .iter()
+            .filter(|request| request.any_unknown)
+            .count();
+        expect_that!(
+            interrupted > 0,
+            eq(is_killed),
+            "{}",
+            describe(&fleet, &finished)
+        );
         fleet.reap(daemon).await;
     }
 }
--- a/crates/coursestand-daemon/tests/shifting.rs
+++ b/crates/coursestand-daemon/tests/shifting.rs
@@ -1,6 +1,6 @@
-//! Drains and the loss of places, measured at the back ends' own records: the
-//! share of a client zone's requests that a zone serves never grows by more than
-//! the cap within a window.
+//! Drains and the loss of zones, checked against the records of the back ends: the share of
+//! a client zone's requests that a zone serves never grows by more than the cap within a
+//! window.
 #![allow(missing_docs)]
 
 mod common;
@@ -25,14 +25,14 @@
 const SERVICE: &str = "bunkview";
 const SHARE_BP: u32 = 2_500;
 const WINDOW_MS: u64 = 2_000;
-/// Offered requests of one bucket may start in the next one; and each of the
-/// daemons rounds to whole requests.
+/// Requests offered in one bucket may start in the next one, and each daemon rounds to whole
+/// requests.
 const SLACK: f64 = 0.10;
-/// Time for the confirmations of all steps of a shift, on a busy machine; less
-/// than a held request for each.
-const CONFIRMATIONS: Duration = Duration::from_millis(1_500);
+/// Maximum time for the confirmations of all steps of a shift on a busy machine; less than
+/// one long poll per step.
+const CONFIRMATION_TIME: Duration = Duration::from_millis(1_500);
 
-fn small_cap(bundle: &mut Bundle) {
+fn set_small_cap(bundle: &mut Bundle) {
     for service in &mut bundle.services {
         service.shift_cap.share_bp = SHARE_BP;
         service.shift_cap.window_ms = WINDOW_MS;
@@ -40,9 +40,9 @@
     }
 }
 
-/// Offers requests of one client zone at a fixed rate; nothing is tried again,
-/// so what starts at a zone is its share of what was offered.
-async fn offer(fleet: &Fleet, seconds: u64) -> Vec<Finding> {
+/// Sends requests of one client zone at a fixed rate. Requests are not retried, so the number
+/// that starts in a zone is its share of the offered load.
+async fn offer_load(fleet: &Fleet, seconds: u64) -> Vec<Finding> {
     let caller = fleet.caller();
     let began = Instant::now();
     let mut tasks = Vec::new();
@@ -52,26 +52,26 @@
         let caller = Arc::clone(&caller);
         let token = format!("shift-{number}");
         let patience = Duration::from_millis(900);
-        let one = errand(
+        let request = errand(
             SERVICE,
             format!("10.1.0.{}", number % 200 + 1),
             &token,
             patience,
         );
         tasks.push(tokio::spawn(async move {
-            caller.run(one, planned).await.finding
+            caller.run(request, planned).await.finding
         }));
     }
     let mut findings = Vec::new();
     for task in tasks {
-        findings.push(task.await.expect("the errand ends"));
+        findings.push(task.await.expect("the request ends"));
     }
     findings
 }
 
-/// The most that the share of any zone grew from one window to the next.
+/// Returns the largest growth of any zone's share from one window to the next.
 fn largest_growth(fleet: &Fleet) -> (f64, BTreeMap<u64, BTreeMap<String, usize>>) {
-    let records = fleet.world.records.all();
+    let records = fleet.simulation.records.all();
     let buckets = starts_by_zone(&records, SERVICE, ORIGIN, WINDOW_MS);
     let offered = (RATE * WINDOW_MS / 1000) as f64;
     let last = buckets.keys().last().copied().unwrap_or(0);
@@ -85,7 +85,7 @@
         .flat_map(|zones| zones.keys().cloned())
         .collect();
     let mut largest = 0.0_f64;
-    // The first and the last bucket are not whole.
+    // The first and the last bucket are incomplete.
     for bucket in first + 2..last {
         for zone in &zones {
             largest = largest.max(share(bucket, zone) - share(bucket - 1, zone));
@@ -94,25 +94,25 @@
     (largest, buckets)
 }
 
-/// Two neighbouring windows may each hold one step.
+/// Adjacent windows may each contain one step.
 fn allowed_growth() -> f64 {
     f64::from(SHARE_BP) / 10_000.0 + SLACK
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_zone_empties_within_the_cap_and_cuts_nothing() {
-    let fleet = Fleet::start(6, |deployment| small_cap(&mut deployment.bundle)).await;
+async fn a_drained_zone_empties_within_the_cap_without_interrupting_requests() {
+    let fleet = Fleet::start(6, |deployment| set_small_cap(&mut deployment.bundle)).await;
     let drain = async {
         tokio::time::sleep(Duration::from_secs(4)).await;
         let target = DrainTarget::Zone(ORIGIN.into());
         fleet.order(OrderAction::Drain { target }).await;
     };
-    let (findings, ()) = tokio::join!(offer(&fleet, 20), drain);
+    let (findings, ()) = tokio::join!(offer_load(&fleet, 20), drain);
     let (growth, buckets) = largest_growth(&fleet);
     expect_that!(growth, le(allowed_growth()), "{buckets:?}");
-    let last_whole = buckets.len().saturating_sub(2);
-    let (_, zones) = buckets.iter().nth(last_whole).expect("a bucket");
+    let last_complete = buckets.len().saturating_sub(2);
+    let (_, zones) = buckets.iter().nth(last_complete).expect("a bucket");
     expect_that!(zones.get(ORIGIN), none(), "the zone is empty: {buckets:?}");
     let unknown = findings
         .iter()
@@ -121,7 +121,7 @@
     expect_that!(unknown, eq(0));
 }
 
-/// Whether a zone still has a share of the requests, as daemon 0 decides.
+/// Whether a zone has a share of the requests according to daemon 0.
 async fn has_share(fleet: &Fleet, zone: &str) -> bool {
     let follower = fleet.dump(0, "follower").await;
     let rows = follower["shares"].as_array().expect("shares");
@@ -132,13 +132,13 @@
     row["shares"].get(zone).is_some()
 }
 
-/// Without traffic nothing else is committed while a window passes, and no
-/// daemon has a reason to ask again before its held request is answered.
+/// Guards against a drain that stalls without traffic: no other commit occurs during a
+/// window, and daemons don't poll again until their long poll is answered.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_goes_on_from_window_to_window_without_any_traffic() {
-    let fleet = Fleet::start(6, |deployment| small_cap(&mut deployment.bundle)).await;
-    // A new leader confirms nothing while leases of one before it may run.
+async fn a_drain_advances_every_window_without_traffic() {
+    let fleet = Fleet::start(6, |deployment| set_small_cap(&mut deployment.bundle)).await;
+    // A new leader confirms nothing while leases of its predecessor may be valid.
     tokio::time::sleep(Duration::from_millis(LEASE_MS)).await;
     let target = DrainTarget::Zone(ORIGIN.into());
     let began = Instant::now();
@@ -150,23 +150,23 @@
     let steps = FULL_SHARE.div_ceil(SHARE_BP);
     let windows = Duration::from_millis(WINDOW_MS) * (steps - 1);
     expect_that!(began.elapsed(), ge(windows));
-    expect_that!(began.elapsed(), le(windows + CONFIRMATIONS));
+    expect_that!(began.elapsed(), le(windows + CONFIRMATION_TIME));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_dies_in_a_rollout_does_not_lift_the_cap() {
-    let fleet = Fleet::start(6, |deployment| small_cap(&mut deployment.bundle)).await;
+async fn a_region_failure_during_a_rollout_stays_within_the_cap() {
+    let fleet = Fleet::start(6, |deployment| set_small_cap(&mut deployment.bundle)).await;
     let faults = async {
         tokio::time::sleep(Duration::from_secs(4)).await;
         let inland = ["in-kempton", "in-sandton"];
-        for backend in &fleet.world.backends {
+        for backend in &fleet.simulation.backends {
             if inland.contains(&backend.description().zone.as_str()) {
                 backend.kill();
             }
         }
-        // A rollout in the middle, and rolled back.
-        let mut next = fleet.world.deployment.bundle.clone();
+        // A rollout during the failure, which is rolled back.
+        let mut next = fleet.simulation.deployment.bundle.clone();
         next.version = 2;
         let signed = fleet.operator.sign_bundle(&next).expect("signed");
         let submitted = fleet
@@ -177,10 +177,10 @@
         tokio::time::sleep(Duration::from_secs(3)).await;
         fleet.order(OrderAction::Roll { revision: 1 }).await;
     };
-    let (findings, ()) = tokio::join!(offer(&fleet, 20), faults);
+    let (findings, ()) = tokio::join!(offer_load(&fleet, 20), faults);
     let (growth, buckets) = largest_growth(&fleet);
     expect_that!(growth, le(allowed_growth()), "{buckets:?}");
-    // What may not move yet is told as not run, and in the end all is served.
+    // Requests beyond the cap are reported as not run; in the end nearly all are served.
     let not_run = findings
         .iter()
         .filter(|finding| **finding == Finding::NotRun)
@@ -194,12 +194,12 @@
     expect_that!(served * 10, ge(tail.len() * 9), "{buckets:?}");
 }
 
-/// The naive version: everything moves at once.
+/// Shows that the check can fail: without a cap, all traffic moves at once.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_cap_off_the_check_fails() {
+async fn without_a_cap_the_check_fails() {
     let fleet = Fleet::start(6, |deployment| {
-        small_cap(&mut deployment.bundle);
+        set_small_cap(&mut deployment.bundle);
         for service in &mut deployment.bundle.services {
             service.shift_cap.share_bp = 10_000;
         }
@@ -210,7 +210,7 @@
         let target = DrainTarget::Zone(ORIGIN.into());
         fleet.order(OrderAction::Drain { target }).await;
     };
-    let (_, ()) = tokio::join!(offer(&fleet, 12), drain);
+    let (_, ()) = tokio::join!(offer_load(&fleet, 12), drain);
     let (growth, buckets) = largest_growth(&fleet);
     expect_that!(growth, gt(allowed_growth()), "{buckets:?}");
 }
--- a/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
@@ -1,6 +1,6 @@
-//! Guards against granting a lease on slots that are being freed. The command
-//! that frees the slots of a daemon whose lease has ended is committed only once
-//! the disks have synced it, and the daemon may request a lease before that.
+//! Guards against granting a lease on slots that are being freed. The command that frees the
+//! slots of a daemon with an expired lease is committed only once the disks have synced it,
+//! and the daemon may request a lease before that.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 use ed25519_dalek::SigningKey;
 use googletest::prelude::*;
 
-use crate::group::{Group, LOOK, WITHIN};
+use crate::group::{Group, POLL_INTERVAL, WITHIN};
 
 const DEADLINE_MS: u64 = 500;
 const OPERATOR: &str = "ada";
 
-/// A daemon that requests a lease only when the test calls for it.
+/// A daemon that requests a lease only when the test makes it.
 struct Follower {
     daemon: DaemonId,
     tables: Tables,
@@ -118,19 +118,19 @@
     duties
 }
 
-/// Whether control counts every slot that the follower uses as held or being
+/// Whether control counts every slot that the follower uses as assigned to it or being
 /// released by it, and none as free.
 fn are_used_slots_occupied(control: &ControlHandle, follower: &Follower) -> bool {
     let state = control.shared.state();
-    let held = state.tables().slots.get(&follower.daemon);
+    let assigned = state.tables().slots.get(&follower.daemon);
     follower.slots().iter().all(|(backend, count)| {
-        let held = held.and_then(|held| held.get(backend)).copied();
+        let assigned = assigned.and_then(|slots| slots.get(backend)).copied();
         let releases = state.releases().iter();
         let released: u32 = releases
             .filter(|release| release.daemon == follower.daemon && release.backend == *backend)
             .map(|release| release.count)
             .sum();
-        held.unwrap_or(0) + released >= *count
+        assigned.unwrap_or(0) + released >= *count
     })
 }
 
@@ -155,7 +155,7 @@
         assert!(started.elapsed() < WITHIN, "no slots assigned");
         follower.request_lease(&exchange).await;
     }
-    // The daemon is frozen until its lease and its longest request have ended. The
+    // The daemon is suspended until its lease and its longest request have ended. The
     // stalled disks delay the command that frees its slots.
     let freed_after = Duration::from_millis(LEASE_MS + DEADLINE_MS);
     tokio::time::sleep(freed_after - Duration::from_millis(200)).await;
@@ -163,12 +163,12 @@
         member.disk.stall(Duration::from_millis(2_500));
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
-    // The daemon wakes up, requests a lease until it is granted one, and uses the
-    // slots that the lease covers.
-    let woke_at = Instant::now();
+    // The daemon is resumed, requests a lease until it is granted one, and uses the slots
+    // that the lease covers.
+    let resumed_at = Instant::now();
     while !follower.request_lease(&exchange).await {
-        assert!(woke_at.elapsed() < WITHIN, "no lease granted");
-        tokio::time::sleep(LOOK).await;
+        assert!(resumed_at.elapsed() < WITHIN, "no lease granted");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let leased_at = Instant::now();
     while leased_at.elapsed() < Duration::from_millis(LEASE_MS / 2) {
@@ -177,7 +177,7 @@
             "the daemon uses slots that count as free: {:?}",
             follower.slots()
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     expect_that!(group.leader(), some(eq(leader)));
     duties.stop().await;
--- a/crates/coursestand-daemon/tests/slow_disk/group.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/group.rs
@@ -1,4 +1,4 @@
-//! Three control replicas in this process, with disks that can stall.
+//! Three control replicas in the test process, on simulated disks that can stall.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -24,29 +24,29 @@
 
 const CLUSTER: u64 = 1;
 pub const REPLICAS: [ReplicaId; 3] = [1, 2, 3];
-pub const LOOK: Duration = Duration::from_millis(10);
-/// Generous: nothing here should come near it.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum wait, far longer than expected.
 pub const WITHIN: Duration = Duration::from_secs(20);
 
-/// A disk in memory whose syncs wait while it stalls.
+/// An in-memory disk whose syncs block while it stalls.
 #[derive(Clone, Default)]
 pub struct Disk {
     saved: Arc<Mutex<Restored>>,
-    stalls_until: Arc<Mutex<Option<Instant>>>,
+    stalled_until: Arc<Mutex<Option<Instant>>>,
 }
 
 impl Disk {
     pub fn stall(&self, duration: Duration) {
         let until = Instant::now() + duration;
         *self
-            .stalls_until
+            .stalled_until
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = Some(until);
     }
 
-    fn wait(&self) {
+    fn wait_for_stall(&self) {
         let until = *self
-            .stalls_until
+            .stalled_until
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if let Some(until) = until {
@@ -62,7 +62,7 @@
 
 impl Storage for Disk {
     fn save(&mut self, batch: &Batch) -> std::result::Result<(), StorageError> {
-        self.wait();
+        self.wait_for_stall();
         let mut saved = self.saved.lock().unwrap_or_else(PoisonError::into_inner);
         saved.apply(batch);
         Ok(())
@@ -74,7 +74,7 @@
         hard_state: HardState,
         rest: &[Entry],
     ) -> std::result::Result<(), StorageError> {
-        self.wait();
+        self.wait_for_stall();
         *self.saved.lock().unwrap_or_else(PoisonError::into_inner) = Restored {
             hard_state,
             snapshot: snapshot.clone(),
@@ -86,7 +86,7 @@
 
 type Events = Arc<Mutex<BTreeMap<ReplicaId, Sender<Event>>>>;
 
-/// Delivers to the other replicas at once.
+/// Delivers messages to the other replicas without delay.
 struct Loopback(Events);
 
 impl PeerSender for Loopback {
@@ -100,7 +100,7 @@
         let events = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for (to, message) in messages {
             if let Some(receiver) = events.get(&to) {
-                // One that has stopped hears nothing.
+                // Fails if the replica has stopped.
                 let _ = receiver.send(Event::Message { from, message });
             }
         }
@@ -113,7 +113,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// Three replicas of one group in this process.
+/// Three replicas of one group in the test process.
 pub struct Group {
     pub members: BTreeMap<ReplicaId, Member>,
     _folder: tempfile::TempDir,
@@ -125,9 +125,9 @@
         let events = Events::default();
         let mut members = BTreeMap::new();
         for replica in REPLICAS {
-            let own = folder.path().join(replica.to_string());
-            std::fs::create_dir_all(&own).expect("a folder");
-            members.insert(replica, start_member(replica, &own, &events));
+            let data_folder = folder.path().join(replica.to_string());
+            std::fs::create_dir_all(&data_folder).expect("a folder");
+            members.insert(replica, start_member(replica, &data_folder, &events));
         }
         let group = Group {
             members,
@@ -171,11 +171,12 @@
                 return leader;
             }
             assert!(started.elapsed() < WITHIN, "no leader");
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// A change at whoever leads, tried until it is committed. Returns how long it took.
+    /// Proposes a change to the leader and retries until it is committed. Returns the time that
+    /// this took.
     pub async fn change(&self, is_active: bool) -> Duration {
         let started = Instant::now();
         loop {
@@ -190,11 +191,11 @@
                     return started.elapsed();
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Longest time in which nobody led, within `duration`.
+    /// Returns the longest time without a leader within `duration`.
     pub async fn longest_without_leader(&self, duration: Duration) -> Duration {
         let started = Instant::now();
         let mut led_at = started;
@@ -204,7 +205,7 @@
                 led_at = Instant::now();
             }
             longest = longest.max(led_at.elapsed());
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         longest
     }
@@ -215,7 +216,7 @@
         for member in self.members.values_mut() {
             let _ = member.control.deliver(Event::Stop);
             if let Some(thread) = member.thread.take() {
-                thread.join().expect("it ended well");
+                thread.join().expect("the driver doesn't panic");
             }
         }
     }
--- a/crates/coursestand-daemon/tests/slow_disk/main.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/main.rs
@@ -1,7 +1,7 @@
-//! Disks that stall for seconds under all control replicas at once stopped control: each
-//! replica synced its log on the thread that answers the leader, so nobody was heard, the
-//! leader lost its lease, and no daemon got news until the disks came back. One replica's
-//! slow disk must not stop the others either, whether it leads or follows.
+//! Guards against stalled disks that stop control. If each replica syncs its log on the thread
+//! that answers the leader, disks that stall for seconds on all replicas make the leader lose
+//! its lease, and daemons get no updates until the disks recover. The slow disk of a single
+//! replica, leader or follower, must not stop the others either.
 #![allow(missing_docs)]
 
 mod ended_leases;
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 use group::{Group, REPLICAS};
 
-/// As long as the disks were seen to stall.
+/// Disk stalls of this length have been observed.
 const STALL: Duration = Duration::from_millis(4_400);
 
 #[gtest]
@@ -25,21 +25,21 @@
         member.disk.stall(STALL);
     }
     let changing = group.change(false);
-    let watching = group.longest_without_leader(STALL);
-    let (took, without) = tokio::join!(changing, watching);
-    // The change needs the disks, and comes with them; leases don't.
+    let monitoring = group.longest_without_leader(STALL);
+    let (took, without_leader) = tokio::join!(changing, monitoring);
+    // The change is committed once the disks recover; the leader lease needs no disk.
     expect_that!(took, lt(STALL + Duration::from_secs(1)));
-    expect_that!(without, lt(Duration::from_millis(200)));
+    expect_that!(without_leader, lt(Duration::from_millis(200)));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_whose_own_disk_stalls_makes_room() {
+async fn a_leader_with_a_stalled_disk_is_replaced() {
     let group = Group::start().await;
     let leader = group.wait_for_leader().await;
     group.change(true).await;
     group.members[&leader].disk.stall(STALL);
-    // The first one may be lost with the old leader, and is tried anew.
+    // The first proposal may be lost with the old leader and is retried.
     let first = tokio::time::timeout(Duration::from_millis(2_500), group.change(false)).await;
     let took = match first {
         Ok(took) => took,
@@ -51,7 +51,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_follower_whose_disk_stalls_holds_nobody_up() {
+async fn a_follower_with_a_stalled_disk_delays_no_change() {
     let group = Group::start().await;
     let leader = group.wait_for_leader().await;
     group.change(true).await;
--- a/crates/coursestand-daemon/tests/soak/callers.rs
+++ b/crates/coursestand-daemon/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that look daemons up, keep their connections, and note what they got.
+//! Callers that send requests over kept connections and record the answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,101 +7,101 @@
 
 use reqwest::Client;
 
-/// What a caller asked, and what it got.
+/// A request and its answer as the caller sees them.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct SentRequest {
     pub id: String,
-    /// When it was sent; not told in records made by hand.
+    /// When it was sent; `None` in hand-made requests.
     pub at: Option<Instant>,
     /// 0 when there was no answer.
     pub status: u16,
-    /// Identity in the head of the answer.
+    /// Request id in the head of the answer.
     pub echoed: Option<String>,
     pub body: String,
 }
 
-/// All that was asked.
+/// All requests of a run.
 #[derive(Default)]
-pub struct Record {
-    asked: Mutex<Vec<Asked>>,
-    numbers: AtomicU64,
-    has_ended: AtomicBool,
+pub struct RequestLog {
+    requests: Mutex<Vec<SentRequest>>,
+    next_number: AtomicU64,
+    is_closed: AtomicBool,
 }
 
-impl Record {
-    pub fn asked(&self) -> Vec<Asked> {
-        self.asked
+impl RequestLog {
+    pub fn requests(&self) -> Vec<SentRequest> {
+        self.requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    pub fn note(&self, asked: Asked) {
-        self.asked
+    pub fn add(&self, request: SentRequest) {
+        self.requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(asked);
+            .push(request);
     }
 
-    pub fn has_ended(&self) -> bool {
-        self.has_ended.load(Ordering::Relaxed)
+    pub fn is_closed(&self) -> bool {
+        self.is_closed.load(Ordering::Relaxed)
     }
 
-    pub fn end(&self) {
-        self.has_ended.store(true, Ordering::Relaxed);
+    pub fn close(&self) {
+        self.is_closed.store(true, Ordering::Relaxed);
     }
 }
 
-/// Asks the fronts one after the other until the record ends. Every second
-/// request may run once only.
-pub async fn call(record: Arc<Record>, fronts: Vec<SocketAddr>, caller: usize, pause: Duration) {
+/// Sends requests until the log is closed, and switches to the next front after each failure.
+/// Every second request may run at most once.
+pub async fn call(log: Arc<RequestLog>, fronts: Vec<SocketAddr>, caller: usize, pause: Duration) {
     let client = Client::builder()
         .timeout(Duration::from_millis(2_500))
         .build()
         .expect("a client");
     let mut front = caller;
-    while !record.has_ended() {
-        let number = record.numbers.fetch_add(1, Ordering::Relaxed);
-        let asked = ask(&client, fronts[front % fronts.len()], number).await;
-        if asked.status != 200 {
+    while !log.is_closed() {
+        let number = log.next_number.fetch_add(1, Ordering::Relaxed);
+        let request = send(&client, fronts[front % fronts.len()], number).await;
+        if request.status != 200 {
             front += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        record.note(asked);
+        log.add(request);
         tokio::time::sleep(pause).await;
     }
 }
 
-async fn ask(client: &Client, front: SocketAddr, number: u64) -> Asked {
+async fn send(client: &Client, front: SocketAddr, number: u64) -> SentRequest {
     let at = Some(Instant::now());
     let is_once = number % 2 == 1;
     let id = format!("{}-{number}", if is_once { "once" } else { "safe" });
-    let request = if is_once {
+    let prepared = if is_once {
         let url = format!("http://{front}/once/{number}");
         client.post(url).body(id.clone())
     } else {
         client.get(format!("http://{front}/safe/{number}"))
     };
-    let answer = request
+    let answer = prepared
         .header("host", "h.example")
         .header("x-request-id", &id)
         .header("x-object-key", (number % 40).to_string())
         .send()
         .await;
-    let mut asked = Asked {
+    let mut request = SentRequest {
         id,
         at,
-        ..Asked::default()
+        ..SentRequest::default()
     };
     if let Ok(answer) = answer {
         let status = answer.status().as_u16();
         let echoed = answer.headers().get("x-request-id");
-        asked.echoed = echoed.and_then(|id| id.to_str().ok()).map(str::to_owned);
-        // An answer without its whole body is none.
+        request.echoed = echoed.and_then(|id| id.to_str().ok()).map(str::to_owned);
+        // An answer with an incomplete body counts as no answer.
         if let Ok(body) = answer.text().await {
-            asked.status = status;
-            asked.body = body;
+            request.status = status;
+            request.body = body;
         }
     }
-    asked
+    request
 }
--- a/crates/coursestand-daemon/tests/soak/faults.rs
+++ b/crates/coursestand-daemon/tests/soak/faults.rs
@@ -1,5 +1,5 @@
-//! The schedule of faults. Entry daemons and back ends are harmed at any time and
-//! together; of the control processes one at a time, as many as may be lost.
+//! The schedule of faults. Entry daemons and back ends fail at any time, also together;
+//! control processes fail one at a time, which is the number of disks that may be lost.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -12,40 +12,40 @@
 use rand::rngs::StdRng;
 
 use crate::processes::Signal;
-use crate::relay::Harm;
-use crate::{CONTROLS, LOST_DISKS, World};
+use crate::relay::LinkFault;
+use crate::{CONTROLS, LOST_DISKS, System};
 
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest time that a planned stop may take: its bound and some for a busy machine.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time of a planned stop: its bound and a margin for a busy machine.
 const STOP_LIMIT: Duration = Duration::from_secs(20);
-/// A control process that came back has this long to catch up before the next is
-/// harmed: a disk counts as lost until then.
-const CATCH_UP: Duration = Duration::from_millis(2_500);
+/// Time for a restarted control process to catch up before the next one fails: its disk
+/// counts as lost until then.
+const CATCH_UP_TIME: Duration = Duration::from_millis(2_500);
 
-/// What ends a fault.
+/// The action that ends a fault of a process.
 #[derive(Clone, Copy, Debug)]
-enum Cure {
+enum Recovery {
     Continue,
     Start,
-    /// It was told to end, and starts again once it has.
-    StartOnceEnded {
-        told_at: Instant,
+    /// Starts a terminating process again once it has exited.
+    StartOnceExited {
+        signalled_at: Instant,
     },
 }
 
-/// Faults under way and those to come.
+/// Generates random faults, and ends them when they are due.
 pub struct Faults {
     random: StdRng,
-    cures: BTreeMap<u8, (Instant, Cure)>,
-    harmed_relays: BTreeMap<usize, Instant>,
-    /// When the back ends that stand still go on.
-    backends_go_on_at: Option<Instant>,
-    controls_rest_until: Instant,
+    recoveries: BTreeMap<u8, (Instant, Recovery)>,
+    faulty_relays: BTreeMap<usize, Instant>,
+    /// When the suspended back ends resume.
+    backends_resume_at: Option<Instant>,
+    no_control_fault_before: Instant,
     version: u64,
 }
 
-impl World {
-    /// Starts the process of a host; `bootstrap` at the very first time.
+impl System {
+    /// Starts the process of a host; with `bootstrap` at its first start.
     pub fn start(&mut self, host: u8, bootstrap: bool) {
         let mut settings = if CONTROLS.contains(&host) {
             self.deployment.control_settings(host, bootstrap)
@@ -62,180 +62,182 @@
     pub fn new(random: StdRng) -> Faults {
         Faults {
             random,
-            cures: BTreeMap::new(),
-            harmed_relays: BTreeMap::new(),
-            backends_go_on_at: None,
-            controls_rest_until: Instant::now() + CATCH_UP,
+            recoveries: BTreeMap::new(),
+            faulty_relays: BTreeMap::new(),
+            backends_resume_at: None,
+            no_control_fault_before: Instant::now() + CATCH_UP_TIME,
             version: 1,
         }
     }
 
-    fn pause(&mut self, most_ms: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(20..most_ms))
+    fn random_duration(&mut self, max_ms: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(20..max_ms))
     }
 
-    /// Lets some time pass, cures what is due, and does the next thing.
-    pub async fn next(&mut self, world: &mut World) -> Result<(), String> {
-        let pause = self.pause(400);
+    /// Waits for a random time, ends the faults that are due and injects the next one.
+    pub async fn next(&mut self, system: &mut System) -> Result<(), String> {
+        let pause = self.random_duration(400);
         tokio::time::sleep(pause).await;
-        self.cure(world, Instant::now())?;
-        match self.random.random_range(0..world.shape.kinds_of_faults()) {
-            0..3 => self.harm_relay(world),
-            3..5 => self.harm_edge(world),
-            5 => self.harm_control(world),
-            6..9 => self.change_route(world).await,
-            9 => self.reload(world),
-            10 => self.kill_edges(world),
-            _ => self.stop_backends(world),
+        self.recover_due(system, Instant::now())?;
+        match self.random.random_range(0..system.shape.fault_weight()) {
+            0..3 => self.inject_link_fault(system),
+            3..5 => self.inject_edge_fault(system),
+            5 => self.inject_control_fault(system),
+            6..9 => self.change_route(system).await,
+            9 => self.reload(system),
+            10 => self.kill_edges(system),
+            _ => self.suspend_backends(system),
         }
         Ok(())
     }
 
     /// Ends all faults.
-    pub async fn heal(&mut self, world: &mut World) -> Result<(), String> {
-        while let Some(last) = self.cures.values().map(|(due, _)| *due).max() {
-            self.cure(world, last)?;
-            tokio::time::sleep(LOOK).await;
+    pub async fn recover_all(&mut self, system: &mut System) -> Result<(), String> {
+        while let Some(last) = self.recoveries.values().map(|(due, _)| *due).max() {
+            self.recover_due(system, last)?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        for relay in &world.relays {
-            relay.set(Harm::None);
+        for relay in &system.relays {
+            relay.set(LinkFault::None);
         }
-        world.backends.iter().for_each(ScriptedBackend::go_on);
+        system.backends.iter().for_each(ScriptedBackend::go_on);
         Ok(())
     }
 
-    fn cure(&mut self, world: &mut World, now: Instant) -> Result<(), String> {
+    fn recover_due(&mut self, system: &mut System, now: Instant) -> Result<(), String> {
         let due = |until: &Instant| *until <= now;
-        let hosts: Vec<(u8, Cure)> = self
-            .cures
+        let hosts: Vec<(u8, Recovery)> = self
+            .recoveries
             .iter()
             .filter(|(_, (until, _))| due(until))
-            .map(|(host, (_, cure))| (*host, *cure))
+            .map(|(host, (_, recovery))| (*host, *recovery))
             .collect();
-        for (host, cure) in hosts {
-            if let Cure::StartOnceEnded { told_at } = cure
-                && !world.processes.has_ended(host)
+        for (host, recovery) in hosts {
+            if let Recovery::StartOnceExited { signalled_at } = recovery
+                && !system.processes.has_exited(host)
             {
-                if told_at.elapsed() > STOP_LIMIT {
-                    return Err(format!("daemon {host} does not end when told to"));
+                if signalled_at.elapsed() > STOP_LIMIT {
+                    return Err(format!("daemon {host} does not exit after SIGTERM"));
                 }
                 continue;
             }
-            self.cures.remove(&host);
-            match cure {
-                Cure::Continue => world.processes.signal(host, Signal::Continue),
-                Cure::Start | Cure::StartOnceEnded { .. } => world.start(host, false),
+            self.recoveries.remove(&host);
+            match recovery {
+                Recovery::Continue => system.processes.signal(host, Signal::Continue),
+                Recovery::Start | Recovery::StartOnceExited { .. } => system.start(host, false),
             }
             if CONTROLS.contains(&host) {
-                self.controls_rest_until = Instant::now() + CATCH_UP;
+                self.no_control_fault_before = Instant::now() + CATCH_UP_TIME;
             }
         }
-        if self.backends_go_on_at.is_some_and(|until| due(&until)) {
-            self.backends_go_on_at = None;
-            world.backends.iter().for_each(ScriptedBackend::go_on);
+        if self.backends_resume_at.is_some_and(|until| due(&until)) {
+            self.backends_resume_at = None;
+            system.backends.iter().for_each(ScriptedBackend::go_on);
         }
         let relays: Vec<usize> = self
-            .harmed_relays
+            .faulty_relays
             .iter()
             .filter(|(_, until)| due(until))
             .map(|(relay, _)| *relay)
             .collect();
         for relay in relays {
-            self.harmed_relays.remove(&relay);
-            world.relays[relay].set(Harm::None);
+            self.faulty_relays.remove(&relay);
+            system.relays[relay].set(LinkFault::None);
         }
         Ok(())
     }
 
-    fn harm_relay(&mut self, world: &World) {
-        let relay = self.random.random_range(0..world.relays.len());
-        if relay >= world.shape.harmed_backends() {
+    fn inject_link_fault(&mut self, system: &System) {
+        let relay = self.random.random_range(0..system.relays.len());
+        if relay >= system.shape.backends_with_link_faults() {
             return;
         }
-        let harm = match self.random.random_range(0..4) {
-            0 => Harm::Delay(Duration::from_millis(120)),
-            1 => Harm::SilentAnswers,
-            2 => Harm::Silent,
-            _ => Harm::Reset,
+        let fault = match self.random.random_range(0..4) {
+            0 => LinkFault::Delay(Duration::from_millis(120)),
+            1 => LinkFault::SilentAnswers,
+            2 => LinkFault::Silent,
+            _ => LinkFault::Reset,
         };
-        world.relays[relay].set(harm);
-        let until = Instant::now() + self.pause(1_500);
-        self.harmed_relays.insert(relay, until);
+        system.relays[relay].set(fault);
+        let until = Instant::now() + self.random_duration(1_500);
+        self.faulty_relays.insert(relay, until);
     }
 
-    /// All entry daemons that run are killed at the same moment.
-    fn kill_edges(&mut self, world: &mut World) {
-        let until = Instant::now() + self.pause(600);
-        for host in world.shape.edges() {
-            if let Entry::Vacant(cure) = self.cures.entry(host) {
-                world.processes.kill(host);
-                cure.insert((until, Cure::Start));
+    /// Kills all running entry daemons at the same time.
+    fn kill_edges(&mut self, system: &mut System) {
+        let until = Instant::now() + self.random_duration(600);
+        for host in system.shape.edges() {
+            if let Entry::Vacant(entry) = self.recoveries.entry(host) {
+                system.processes.kill(host);
+                entry.insert((until, Recovery::Start));
             }
         }
     }
 
-    /// Half of the back ends stand still, as long as some windows of the bounds.
-    fn stop_backends(&mut self, world: &World) {
-        let half = world.backends.len() / 2;
-        let backends = &world.backends[..half];
+    /// Suspends half of the back ends, for up to some windows of the bounds.
+    fn suspend_backends(&mut self, system: &System) {
+        let half = system.backends.len() / 2;
+        let backends = &system.backends[..half];
         backends.iter().for_each(ScriptedBackend::stand_still);
-        let until = Instant::now() + self.pause(15_000);
-        self.backends_go_on_at = self.backends_go_on_at.max(Some(until));
+        let until = Instant::now() + self.random_duration(15_000);
+        self.backends_resume_at = self.backends_resume_at.max(Some(until));
     }
 
-    fn harm_edge(&mut self, world: &mut World) {
-        let edges = world.shape.edges();
+    fn inject_edge_fault(&mut self, system: &mut System) {
+        let edges = system.shape.edges();
         let host = edges[self.random.random_range(0..edges.len())];
-        if self.cures.contains_key(&host) {
+        if self.recoveries.contains_key(&host) {
             return;
         }
-        let until = Instant::now() + self.pause(2_000);
+        let until = Instant::now() + self.random_duration(2_000);
         match self.random.random_range(0..3) {
             0 => {
-                world.processes.signal(host, Signal::Stop);
-                self.cures.insert(host, (until, Cure::Continue));
+                system.processes.signal(host, Signal::Stop);
+                self.recoveries.insert(host, (until, Recovery::Continue));
             }
             1 => {
-                world.processes.kill(host);
-                self.cures.insert(host, (until, Cure::Start));
+                system.processes.kill(host);
+                self.recoveries.insert(host, (until, Recovery::Start));
             }
             _ => {
-                world.processes.signal(host, Signal::Terminate);
-                let told_at = Instant::now();
-                self.cures
-                    .insert(host, (until, Cure::StartOnceEnded { told_at }));
+                system.processes.signal(host, Signal::Terminate);
+                let signalled_at = Instant::now();
+                self.recoveries
+                    .insert(host, (until, Recovery::StartOnceExited { signalled_at }));
             }
         }
     }
 
-    fn harm_control(&mut self, world: &mut World) {
-        let is_one_harmed = CONTROLS.iter().any(|host| self.cures.contains_key(host));
-        if is_one_harmed || Instant::now() < self.controls_rest_until {
+    fn inject_control_fault(&mut self, system: &mut System) {
+        let has_control_fault = CONTROLS
+            .iter()
+            .any(|host| self.recoveries.contains_key(host));
+        if has_control_fault || Instant::now() < self.no_control_fault_before {
             return;
         }
         let host = CONTROLS[self.random.random_range(0..CONTROLS.len())];
-        let until = Instant::now() + self.pause(2_500);
-        let cure = match self.random.random_range(0..3) {
+        let until = Instant::now() + self.random_duration(2_500);
+        let recovery = match self.random.random_range(0..3) {
             0 => {
-                world.processes.signal(host, Signal::Stop);
-                Cure::Continue
+                system.processes.signal(host, Signal::Stop);
+                Recovery::Continue
             }
             kind => {
-                world.processes.kill(host);
+                system.processes.kill(host);
                 if kind == 1 {
-                    // It loses its disk as well.
-                    let folder = world.deployment.data_folder(host);
+                    // The process loses its disk, too.
+                    let folder = system.deployment.data_folder(host);
                     std::fs::remove_dir_all(folder).expect("removed");
                 }
-                Cure::Start
+                Recovery::Start
             }
         };
-        self.cures.insert(host, (until, cure));
+        self.recoveries.insert(host, (until, recovery));
     }
 
-    /// An operator changes a route once, at one control process; only a 200
-    /// counts as acknowledged.
-    async fn change_route(&mut self, world: &mut World) {
+    /// Changes a route with one request to one control process. Only status 200 counts as
+    /// acknowledged.
+    async fn change_route(&mut self, system: &mut System) {
         self.version += 1;
         let name = format!("extra-{}", self.random.random_range(0..3));
         let route = items::route(&name, "s", RouteKind::Repeatable, 2_000);
@@ -245,16 +247,16 @@
         };
         let body = serde_json::to_string(&patch).expect("JSON");
         let host = CONTROLS[self.random.random_range(0..CONTROLS.len())];
-        if world.deployment.try_patch(host, &body).await == 200 {
-            world.acknowledged.insert(name, self.version);
+        if system.deployment.try_patch(host, &body).await == 200 {
+            system.acknowledged.insert(name, self.version);
         }
     }
 
-    fn reload(&mut self, world: &World) {
-        let edges = world.shape.edges();
+    fn reload(&mut self, system: &System) {
+        let edges = system.shape.edges();
         let host = edges[self.random.random_range(0..edges.len())];
-        if !self.cures.contains_key(&host) && world.processes.handles_signals(host) {
-            world.processes.signal(host, Signal::Hangup);
+        if !self.recoveries.contains_key(&host) && system.processes.handles_signals(host) {
+            system.processes.signal(host, Signal::Hangup);
         }
     }
 }
--- a/crates/coursestand-daemon/tests/soak/hangup.rs
+++ b/crates/coursestand-daemon/tests/soak/hangup.rs
@@ -1,4 +1,4 @@
-//! What a soak leaves behind that is told to end.
+//! The clean-up of a soak that is ended by a signal.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -9,19 +9,19 @@
 use crate::deployment::{Deployment, WITHIN};
 use crate::processes::Processes;
 
-/// Set in the process that is hung up.
+/// Set in the process that gets the signal.
 const HOLD: &str = "COURSESTAND_SOAK_HOLD";
 const STARTED: &str = "started process ";
 
-fn runs(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     std::path::Path::new(&format!("/proc/{id}")).exists()
 }
 
-/// Plays the soak that is hung up: it starts a daemon and waits. Nothing unless it is asked
-/// for.
+/// The soak that gets the signal: starts a daemon and waits. Does nothing unless the variable
+/// is set.
 #[gtest]
 #[tokio::test]
-async fn holds_a_process_until_it_is_hung_up() {
+async fn holds_a_process_until_hangup() {
     if std::env::var_os(HOLD).is_none() {
         return;
     }
@@ -32,12 +32,12 @@
     tokio::time::sleep(WITHIN).await;
 }
 
-/// Guards against daemons that run on for ever after their soak was hung up.
+/// Guards against daemons that keep running after their soak was ended by a signal.
 #[gtest]
 #[tokio::test]
-async fn a_soak_that_is_hung_up_ends_its_processes() {
+async fn a_soak_kills_its_processes_on_hangup() {
     let mut soak = Command::new(std::env::current_exe().expect("this program"))
-        .args(["holds_a_process_until_it_is_hung_up", "--nocapture"])
+        .args(["holds_a_process_until_hangup", "--nocapture"])
         .env(HOLD, "1")
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
@@ -52,15 +52,18 @@
             id.trim().parse::<u32>().ok()
         });
     let id = started.expect("a process was started");
-    expect_that!(runs(id), eq(true));
-    let hung_up = Command::new("kill")
+    expect_that!(is_running(id), eq(true));
+    let sent = Command::new("kill")
         .args(["-HUP", &soak.id().to_string()])
         .status();
-    assert!(hung_up.is_ok_and(|status| status.success()), "no signal");
-    soak.wait().expect("it ended");
-    let begin = Instant::now();
-    while runs(id) && begin.elapsed() < WITHIN {
+    assert!(
+        sent.is_ok_and(|status| status.success()),
+        "the signal is not sent"
+    );
+    soak.wait().expect("it exits");
+    let signalled_at = Instant::now();
+    while is_running(id) && signalled_at.elapsed() < WITHIN {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    expect_that!(runs(id), eq(false));
+    expect_that!(is_running(id), eq(false));
 }
--- a/crates/coursestand-daemon/tests/soak/main.rs
+++ b/crates/coursestand-daemon/tests/soak/main.rs
@@ -1,10 +1,10 @@
-//! A randomized soak: the real programs as processes on loopback, faults from
-//! outside them, and the promises checked from what callers, back ends and
-//! operators see.
+//! A randomized soak: daemons run as processes on loopback, faults are injected from outside,
+//! and the guarantees are checked against the observations of callers, back ends and
+//! operators.
 //!
-//! `COURSESTAND_SOAK_SEEDS=FIRST..END` plays those seeds, `COURSESTAND_SOAK_SECONDS`
-//! sets how long each lasts. Without them a short run of fixed seeds is played. A second
-//! test plays each seed that ever failed. The logs of a seed that fails are kept.
+//! `COURSESTAND_SOAK_SEEDS=FIRST..END` runs these seeds, `COURSESTAND_SOAK_SECONDS` sets the
+//! duration of each. The default is a short run of fixed seeds. A second test runs each seed
+//! that has ever failed. The logs of a failing seed are kept.
 #![allow(missing_docs)]
 
 #[path = "../fleet/deployment.rs"]
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use callers::{Asked, Record, call};
+use callers::{RequestLog, SentRequest, call};
 use coursestand_catalog::{Patch, RouteKind};
 use coursestand_discovery::InstancePhase;
 use coursestand_lab::items;
@@ -40,28 +40,28 @@
 use shape::Shape;
 
 pub const CONTROLS: [u8; 3] = [1, 2, 3];
-/// Disks that may be lost at once among three.
+/// Number of disks that may be lost at the same time.
 pub const LOST_DISKS: usize = 1;
 pub const BACKENDS: usize = 4;
 const CALLERS: usize = 6;
 const HEARTBEAT: Duration = Duration::from_millis(400);
-/// Heartbeats after which a back end starts again; the last one says that it leaves.
-const HEARTBEATS_OF_A_LIFE: usize = 8;
-/// Start of the first incarnations, in milliseconds since the Unix epoch.
-const FIRST_BORN_MS: u64 = 1_796_259_000_000;
-const DEFAULT_SECONDS: u64 = 6;
+/// Heartbeats after which a back end restarts; the last one announces that it drains.
+const HEARTBEATS_PER_INCARNATION: usize = 8;
+/// Start time of the first incarnations, in milliseconds since the Unix epoch.
+const FIRST_START_MS: u64 = 1_796_259_000_000;
+const DEFAULT_DURATION_SECONDS: u64 = 6;
 /// Seeds of the short run.
-const SEEDS: [u64; 2] = [1, 2];
-/// Seeds that failed once, each with its line in `docs/FINDINGS.md`.
-const REGRESSIONS: [u64; 1] = [150];
-/// Requests in a back end's script; after them it answers properly.
-const SCRIPT: usize = 400;
-/// Statuses that promise that the request was not run and never will be.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const DEFAULT_SEEDS: [u64; 2] = [1, 2];
+/// Seeds that failed once; each has a line in `docs/FINDINGS.md`.
+const REGRESSION_SEEDS: [u64; 1] = [150];
+/// Number of requests in a back end's script; it answers later ones properly.
+const SCRIPT_LENGTH: usize = 400;
+/// Statuses which guarantee that the request was not run and will not be run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// What a fault's schedule acts on.
-pub struct World {
-    /// Ended before the deployment's network is given back.
+/// The system under test.
+pub struct System {
+    /// Dropped before `deployment`, which releases the network.
     pub processes: Processes,
     pub deployment: Deployment,
     pub relays: Vec<Relay>,
@@ -72,7 +72,7 @@
 }
 
 fn script(random: &mut StdRng) -> Vec<Behaviour> {
-    let behaviours = (0..SCRIPT).map(|_| match random.random_range(0..60) {
+    let behaviours = (0..SCRIPT_LENGTH).map(|_| match random.random_range(0..60) {
         0 => Behaviour::Shed,
         1 => Behaviour::UnprovenRefusal,
         2 => Behaviour::Lose,
@@ -86,14 +86,14 @@
         10 => Behaviour::Early,
         11 => Behaviour::Misdirected,
         12..20 => Behaviour::Slow(Duration::from_millis(150)),
-        // Short, so that some back end is left for the requests.
+        // A short back-off, so that some back end remains available.
         59 => Behaviour::ShedWith("x-load: 0,0,4\r\nretry-after: 0.05\r\n"),
         _ => Behaviour::Answer(200),
     });
     behaviours.collect()
 }
 
-fn first_items() -> Patch {
+fn initial_items() -> Patch {
     let route = |name: &str, kind| {
         let route = items::route(name, "s", kind, 2_000);
         items::route_item(name, 1, route)
@@ -109,25 +109,28 @@
     }
 }
 
-/// What back end `number` says in a round. Every few heartbeats it leaves and starts again
-/// under its identity; not all of them at once.
+/// Returns the heartbeat of back end `number` in a round. Every few heartbeats it drains and
+/// restarts under the same id; the back ends do so at different times.
 fn heartbeat_in(round: usize, number: usize, id: &str, address: SocketAddr) -> String {
-    let turn = round + number * HEARTBEATS_OF_A_LIFE / BACKENDS;
-    let (life, beat) = (turn / HEARTBEATS_OF_A_LIFE, turn % HEARTBEATS_OF_A_LIFE);
-    let phase = if beat + 1 == HEARTBEATS_OF_A_LIFE {
+    let offset_round = round + number * HEARTBEATS_PER_INCARNATION / BACKENDS;
+    let (incarnation, beat) = (
+        offset_round / HEARTBEATS_PER_INCARNATION,
+        offset_round % HEARTBEATS_PER_INCARNATION,
+    );
+    let phase = if beat + 1 == HEARTBEATS_PER_INCARNATION {
         InstancePhase::Draining
     } else {
         InstancePhase::Ready
     };
     let news = heartbeat_of(id, address, beat as u64 + 1, phase);
     let mut body = serde_json::to_value(news).expect("JSON");
-    body["born"] = (FIRST_BORN_MS + life as u64).into();
+    body["born"] = (FIRST_START_MS + incarnation as u64).into();
     body.to_string()
 }
 
-/// Back ends tell that they live, to one control process after the other.
+/// Sends the back ends' heartbeats to the control processes in turn until the log is closed.
 async fn send_heartbeats(
-    record: Arc<Record>,
+    log: Arc<RequestLog>,
     urls: Vec<String>,
     addresses: Vec<(String, SocketAddr)>,
 ) {
@@ -136,7 +139,7 @@
         .build()
         .expect("a client");
     let mut round = 0;
-    while !record.has_ended() {
+    while !log.is_closed() {
         for (number, (id, address)) in addresses.iter().enumerate() {
             let body = heartbeat_in(round, number, id, *address);
             for attempt in 0..urls.len() {
@@ -154,27 +157,28 @@
     }
 }
 
-/// Waits until each entry daemon has served a request; `when` tells when it is.
+/// Waits until each entry daemon has served a request; `when` describes the phase of the run
+/// in errors.
 async fn wait_for_service(
-    world: &mut World,
-    record: &Record,
+    system: &mut System,
+    log: &RequestLog,
     when: &str,
 ) -> std::result::Result<(), String> {
-    for edge in world.shape.edges() {
+    for edge in system.shape.edges() {
         let started = Instant::now();
         let mut number = 0;
         loop {
             number += 1;
             let id = format!("probe-{edge}-{number}");
-            record.note(Asked {
+            log.add(SentRequest {
                 id: id.clone(),
                 at: Some(Instant::now()),
-                ..Asked::default()
+                ..SentRequest::default()
             });
-            if world.deployment.request(edge, "/safe/probe", &id).await == 200 {
+            if system.deployment.request(edge, "/safe/probe", &id).await == 200 {
                 break;
             }
-            check_processes(world)?;
+            check_processes(system)?;
             if started.elapsed() > WITHIN {
                 return Err(format!("daemon {edge} does not serve {when}"));
             }
@@ -184,20 +188,21 @@
     Ok(())
 }
 
-/// No process ended that was not told to.
-fn check_processes(world: &mut World) -> std::result::Result<(), String> {
-    match world.processes.ended_by_themselves().first() {
-        Some(host) => Err(format!("process {host} ended by itself")),
+/// Checks that no process exited unexpectedly.
+fn check_processes(system: &mut System) -> std::result::Result<(), String> {
+    match system.processes.exited_unexpectedly().first() {
+        Some(host) => Err(format!("process {host} exited unexpectedly")),
         None => Ok(()),
     }
 }
 
-/// Plays one seed; an error names the promise that was broken, and where the logs are.
-async fn play(seed: u64, seconds: u64, shape: Shape) -> std::result::Result<usize, String> {
+/// Runs one seed. Returns the number of served requests, or an error that names the violated
+/// guarantee and the folder of the logs.
+async fn run_seed(seed: u64, seconds: u64, shape: Shape) -> std::result::Result<usize, String> {
     let random = StdRng::seed_from_u64(seed);
     let deployment = Deployment::new(&CONTROLS);
     let logs = deployment.data_folder(0);
-    let mut world = World {
+    let mut system = System {
         processes: Processes::new(&logs),
         deployment,
         relays: Vec::new(),
@@ -205,97 +210,102 @@
         shape,
         acknowledged: BTreeMap::new(),
     };
-    let played = run(&mut world, random, seconds).await;
-    played.map_err(|reason| {
-        let folder = &mut world.deployment.folder;
+    let outcome = run(&mut system, random, seconds).await;
+    outcome.map_err(|reason| {
+        let folder = &mut system.deployment.folder;
         folder.disable_cleanup(true);
         format!("{reason}; logs in {}", folder.path().display())
     })
 }
 
 async fn run(
-    world: &mut World,
+    system: &mut System,
     mut random: StdRng,
     seconds: u64,
 ) -> std::result::Result<usize, String> {
     for host in CONTROLS {
-        world.start(host, true);
+        system.start(host, true);
     }
-    for host in world.shape.edges() {
-        world.start(host, true);
+    for host in system.shape.edges() {
+        system.start(host, true);
     }
-    let first = first_items();
-    let status = world.deployment.patch(&CONTROLS, &first).await;
-    assert_eq!(status, 200, "the first items are refused");
+    let initial = initial_items();
+    let status = system.deployment.patch(&CONTROLS, &initial).await;
+    assert_eq!(status, 200, "the initial items are rejected");
     let mut heartbeats = Vec::new();
     for number in 0..BACKENDS {
         let script = script(&mut random);
-        let is_limited = number >= world.shape.harmed_backends();
+        let is_limited = number >= system.shape.backends_with_link_faults();
         let started = match is_limited {
-            true => ScriptedBackend::start(rate_limit::naming(script), rate_limit::NAMES).await,
+            true => {
+                ScriptedBackend::start(
+                    rate_limit::with_rate_limit(script),
+                    rate_limit::RATE_LIMITED_ANSWER,
+                )
+                .await
+            }
             false => ScriptedBackend::start(script, Behaviour::Answer(200)).await,
         };
         let backend = started.expect("a back end");
         let relay = Relay::start(backend.address()).await;
         let id = format!("backend-{number}");
         heartbeats.push((id, relay.address()));
-        world.backends.push(backend);
-        world.relays.push(relay);
+        system.backends.push(backend);
+        system.relays.push(relay);
     }
-    let record = Arc::new(Record::default());
-    let urls = CONTROLS.map(|host| world.deployment.control_url(host));
-    let beating = tokio::spawn(send_heartbeats(
-        Arc::clone(&record),
-        urls.to_vec(),
-        heartbeats,
-    ));
-    wait_for_service(world, &record, "before the faults").await?;
-    let edges = world.shape.edges();
-    let fronts = edges.iter().map(|host| world.deployment.front(*host));
+    let log = Arc::new(RequestLog::default());
+    let urls = CONTROLS.map(|host| system.deployment.control_url(host));
+    let heartbeat_task = tokio::spawn(send_heartbeats(Arc::clone(&log), urls.to_vec(), heartbeats));
+    wait_for_service(system, &log, "before the faults").await?;
+    let edges = system.shape.edges();
+    let fronts = edges.iter().map(|host| system.deployment.front(*host));
     let fronts: Vec<SocketAddr> = fronts.collect();
-    let pause = world.shape.pause;
-    let calling: Vec<_> = (0..CALLERS)
-        .map(|caller| tokio::spawn(call(Arc::clone(&record), fronts.clone(), caller, pause)))
+    let pause = system.shape.pause;
+    let caller_tasks: Vec<_> = (0..CALLERS)
+        .map(|caller| tokio::spawn(call(Arc::clone(&log), fronts.clone(), caller, pause)))
         .collect();
     let began = Instant::now();
     let end = began + Duration::from_secs(seconds);
     let mut faults = Faults::new(random);
     while Instant::now() < end {
-        faults.next(world).await?;
+        faults.next(system).await?;
     }
-    faults.heal(world).await?;
-    let served = wait_for_service(world, &record, "after the faults").await;
-    record.end();
-    for task in calling {
-        task.await.expect("a caller ended");
+    faults.recover_all(system).await?;
+    let served = wait_for_service(system, &log, "after the faults").await;
+    log.close();
+    for task in caller_tasks {
+        task.await.expect("a caller ends");
     }
-    beating.await.expect("the heartbeats ended");
-    check_processes(world)?;
+    heartbeat_task.await.expect("the heartbeats end");
+    check_processes(system)?;
     served?;
-    for (route, version) in &world.acknowledged {
-        let read = world.deployment.read(CONTROLS[0]).await;
-        let held = read.get(&key_of(route)).copied().unwrap_or_default();
-        if held < *version {
+    for (route, version) in &system.acknowledged {
+        let read = system.deployment.read(CONTROLS[0]).await;
+        let found = read.get(&key_of(route)).copied().unwrap_or_default();
+        if found < *version {
             return Err(format!(
-                "route {route} has version {held}, {version} was acknowledged"
+                "route {route} has version {found}, {version} was acknowledged"
             ));
         }
     }
-    judge_repeats(&record.asked(), &world.backends, &world.shape)?;
-    if world.shape.has_rate_limit {
-        rate_limit::judge(began, &world.backends[world.shape.harmed_backends()])?;
+    check_repeats(&log.requests(), &system.backends, &system.shape)?;
+    if system.shape.has_rate_limit {
+        rate_limit::check(
+            began,
+            &system.backends[system.shape.backends_with_link_faults()],
+        )?;
     }
-    judge(&record.asked(), &world.backends)
+    check_answers(&log.requests(), &system.backends)
 }
 
-/// Checks that no window brought the service more repeats than its bound.
-fn judge_repeats(
-    asked: &[Asked],
+/// Checks that no window has more retries than the bound allows.
+fn check_repeats(
+    asked: &[SentRequest],
     backends: &[ScriptedBackend],
     shape: &Shape,
 ) -> std::result::Result<(), String> {
     let arrived: Vec<Arrival> = backends.iter().flat_map(ScriptedBackend::arrived).collect();
-    let asked: Vec<Instant> = asked.iter().filter_map(|one| one.at).collect();
+    let asked: Vec<Instant> = asked.iter().filter_map(|request| request.at).collect();
     let worst = worst_window(shape.repeat_bound(), &arrived, &asked);
     if worst.is_over() {
         return Err(format!("too many repeats in a window: {worst:?}"));
@@ -303,38 +313,43 @@
     Ok(())
 }
 
-/// Checks what callers got against what back ends ran. Returns how many requests
-/// were served.
-fn judge(asked: &[Asked], backends: &[ScriptedBackend]) -> std::result::Result<usize, String> {
+/// Checks the callers' answers against the runs of the back ends. Returns the number of served
+/// requests.
+fn check_answers(
+    asked: &[SentRequest],
+    backends: &[ScriptedBackend],
+) -> std::result::Result<usize, String> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for run in backends.iter().flat_map(ScriptedBackend::runs) {
         *runs.entry(run.id).or_default() += 1;
     }
-    let asked_for: BTreeMap<&str, &Asked> =
-        asked.iter().map(|one| (one.id.as_str(), one)).collect();
+    let requests_by_id: BTreeMap<&str, &SentRequest> = asked
+        .iter()
+        .map(|request| (request.id.as_str(), request))
+        .collect();
     for (id, count) in &runs {
-        let Some(one) = asked_for.get(id.as_str()) else {
-            return Err(format!("{id} was run and never asked"));
+        let Some(request) = requests_by_id.get(id.as_str()) else {
+            return Err(format!("{id} was run but never requested"));
         };
         if id.starts_with("once") && *count > 1 {
             return Err(format!("{id} was run {count} times"));
         }
-        if PROMISES.contains(&one.status) {
-            return Err(format!("{id} was run, its answer was {}", one.status));
+        if NOT_RUN_STATUSES.contains(&request.status) {
+            return Err(format!("{id} was run, its answer was {}", request.status));
         }
     }
-    for one in asked.iter().filter(|one| one.status == 200) {
-        let is_own = one.echoed.as_deref() == Some(&one.id);
-        if !is_own || one.body != format!("body of {}", one.id) {
-            return Err(format!("{one:?} is not the answer to its request"));
+    for request in asked.iter().filter(|request| request.status == 200) {
+        let has_own_id = request.echoed.as_deref() == Some(&request.id);
+        if !has_own_id || request.body != format!("body of {}", request.id) {
+            return Err(format!("{request:?} is not the answer to its request"));
         }
     }
-    Ok(asked.iter().filter(|one| one.status == 200).count())
+    Ok(asked.iter().filter(|request| request.status == 200).count())
 }
 
 fn seeds() -> Vec<u64> {
     let Ok(range) = std::env::var("COURSESTAND_SOAK_SEEDS") else {
-        return SEEDS.to_vec();
+        return DEFAULT_SEEDS.to_vec();
     };
     let (first, end) = range.split_once("..").expect("FIRST..END");
     (first.parse().expect("a number")..end.parse().expect("a number")).collect()
@@ -342,56 +357,58 @@
 
 fn seconds() -> u64 {
     let text = std::env::var("COURSESTAND_SOAK_SECONDS").ok();
-    text.map_or(DEFAULT_SECONDS, |text| text.parse().expect("a number"))
+    text.map_or(DEFAULT_DURATION_SECONDS, |text| {
+        text.parse().expect("a number")
+    })
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_under_faults_from_outside() {
-    expect_that!(broken_promises(seeds(), narrow).await, is_empty());
+async fn guarantees_hold_under_external_faults() {
+    expect_that!(violations(seeds(), baseline).await, is_empty());
 }
 
-/// More daemons, fewer requests and smaller bounds; all daemons killed at once, and back
-/// ends that stand still.
+/// Shapes with more daemons, less load and smaller bounds; all daemons are killed at the same
+/// time, and back ends are suspended.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_in_deployments_of_other_shapes() {
-    expect_that!(broken_promises(seeds(), Shape::drawn).await, is_empty());
+async fn guarantees_hold_in_random_shapes() {
+    expect_that!(violations(seeds(), Shape::from_seed).await, is_empty());
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn seeds_that_failed_once_hold() {
+async fn guarantees_hold_for_seeds_that_failed_once() {
     expect_that!(
-        broken_promises(REGRESSIONS.to_vec(), narrow).await,
+        violations(REGRESSION_SEEDS.to_vec(), baseline).await,
         is_empty()
     );
 }
 
-fn narrow(_seed: u64) -> Shape {
-    Shape::narrow()
+fn baseline(_seed: u64) -> Shape {
+    Shape::baseline()
 }
 
-async fn broken_promises(seeds: Vec<u64>, shape_of: fn(u64) -> Shape) -> Vec<String> {
-    let mut broken = Vec::new();
+async fn violations(seeds: Vec<u64>, shape_of: fn(u64) -> Shape) -> Vec<String> {
+    let mut violations = Vec::new();
     for seed in seeds {
-        match play(seed, seconds(), shape_of(seed)).await {
+        match run_seed(seed, seconds(), shape_of(seed)).await {
             Ok(served) => {
                 println!("seed {seed}: {served} requests served");
                 if served == 0 {
-                    broken.push(format!("seed {seed}: nothing was served"));
+                    violations.push(format!("seed {seed}: no request was served"));
                 }
             }
-            Err(reason) => broken.push(format!("seed {seed}: {reason}")),
+            Err(reason) => violations.push(format!("seed {seed}: {reason}")),
         }
     }
-    broken
+    violations
 }
 
-/// The judge must be able to fail: each promise, broken by hand.
+/// Shows that each check can fail: violates each guarantee deliberately.
 #[gtest]
 #[tokio::test]
-async fn the_judge_sees_each_broken_promise() {
+async fn each_violated_guarantee_is_detected() {
     let backend = ScriptedBackend::start(vec![], Behaviour::Answer(200))
         .await
         .expect("a back end");
@@ -403,56 +420,60 @@
     }
     let backends = [backend];
     let long_ago = Instant::now().checked_sub(WITHIN).expect("a moment");
-    expect_that!(rate_limit::judge(long_ago, &backends[0]), ok(eq(&())));
+    expect_that!(rate_limit::check(long_ago, &backends[0]), ok(eq(&())));
     let strict = Shape {
         retry_extra: 0.0,
-        ..Shape::narrow()
+        ..Shape::baseline()
     };
     expect_that!(
-        judge_repeats(&[], &backends, &strict),
+        check_repeats(&[], &backends, &strict),
         err(contains_substring("too many repeats"))
     );
-    expect_that!(judge_repeats(&[], &backends, &Shape::narrow()), ok(eq(&())));
-    let asked = |id: &str, status, echoed: &str| Asked {
+    expect_that!(
+        check_repeats(&[], &backends, &Shape::baseline()),
+        ok(eq(&()))
+    );
+    let asked = |id: &str, status, echoed: &str| SentRequest {
         id: id.to_owned(),
         at: None,
         status,
         echoed: Some(echoed.to_owned()),
         body: format!("body of {echoed}"),
     };
-    let all = |first: Asked| {
+    let all = |first: SentRequest| {
         vec![
             first,
             asked("once-3", 200, "once-3"),
             asked("safe-2", 200, "safe-2"),
         ]
     };
-    let judged = |asked: Vec<Asked>| judge(&asked, &backends).expect_err("broken");
+    let violation_in =
+        |asked: Vec<SentRequest>| check_answers(&asked, &backends).expect_err("a violation");
     expect_that!(
-        judged(all(asked("once-1", 200, "once-1"))),
+        violation_in(all(asked("once-1", 200, "once-1"))),
         contains_substring("run 2 times")
     );
-    expect_that!(judged(vec![]), contains_substring("never asked"));
+    expect_that!(violation_in(vec![]), contains_substring("never requested"));
     for number in 0..20 {
         let url = format!("http://{}/safe/{number}", backends[0].address());
         http.get(url).send().await.expect("an answer");
     }
     expect_that!(
-        rate_limit::judge(long_ago, &backends[0]),
+        rate_limit::check(long_ago, &backends[0]),
         err(contains_substring("rate limit"))
     );
-    // A back end that ran nothing, and one that ran a request that was refused.
+    // A back end that ran no request, and one that ran a request that was rejected.
     let idle = ScriptedBackend::start(vec![], Behaviour::Answer(200))
         .await
         .expect("a back end");
-    let foreign = judge(&[asked("safe-4", 200, "safe-6")], &[idle]);
+    let foreign = check_answers(&[asked("safe-4", 200, "safe-6")], &[idle]);
     expect_that!(foreign, err(contains_substring("is not the answer")));
-    let one = ScriptedBackend::start(vec![], Behaviour::Answer(200))
+    let backend = ScriptedBackend::start(vec![], Behaviour::Answer(200))
         .await
         .expect("a back end");
-    let url = format!("http://{}/once/1", one.address());
+    let url = format!("http://{}/once/1", backend.address());
     let sent = http.post(url).header("x-request-id", "once-5").body("a");
     sent.send().await.expect("an answer");
-    let refused = judge(&[asked("once-5", 503, "")], &[one]);
+    let refused = check_answers(&[asked("once-5", 503, "")], &[backend]);
     expect_that!(refused, err(contains_substring("its answer was 503")));
 }
--- a/crates/coursestand-daemon/tests/soak/processes.rs
+++ b/crates/coursestand-daemon/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The real programs as processes, and signals to them by their ids.
+//! Daemons as real processes, which are signalled by process id.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -10,24 +10,26 @@
 use coursestand_model::fleet::FleetSettings;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Longest time from a program's start until its signal handlers stand.
-const TIME_TO_START: Duration = Duration::from_secs(2);
+/// Maximum time from a process's start until its signal handlers are installed.
+const STARTUP_TIME: Duration = Duration::from_secs(2);
 
-/// The daemon: the one of this build, or another version of it that is to be played.
+/// Returns the path of the daemon: that of this build, or the version that
+/// `COURSESTAND_PROGRAM` names.
 fn program() -> PathBuf {
-    let other = std::env::var_os("COURSESTAND_PROGRAM");
-    other.map_or_else(|| env!("CARGO_BIN_EXE_coursestandd").into(), PathBuf::from)
+    let override_path = std::env::var_os("COURSESTAND_PROGRAM");
+    override_path.map_or_else(|| env!("CARGO_BIN_EXE_coursestandd").into(), PathBuf::from)
 }
 
-/// The settings as JSON, without those that aren't set: earlier versions don't know all.
-fn text_of(settings: &FleetSettings) -> String {
+/// Returns the settings as JSON without unset fields, some of which earlier versions don't
+/// know.
+fn settings_json(settings: &FleetSettings) -> String {
     let mut value = serde_json::to_value(settings).expect("JSON");
     let fields = value.as_object_mut().expect("an object");
     fields.retain(|_, value| !value.is_null());
     value.to_string()
 }
 
-/// A signal as `kill` names it.
+/// A signal that `kill` sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     Stop,
@@ -47,16 +49,17 @@
     }
 }
 
-/// Identities of the processes that run now, of all deployments of this test.
+/// Ids of the running processes of all deployments of this test process.
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
-static WATCHES_SIGNALS: Once = Once::new();
+static SIGNAL_WATCHER: Once = Once::new();
 
 fn running() -> MutexGuard<'static, BTreeSet<u32>> {
     RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Ends all processes, and this one, when this one is told to end: nothing is dropped then.
-fn end_with_this_process() {
+/// Kills all processes when this process gets a signal to end, since no destructors run then,
+/// and exits.
+fn kill_all_on_signal() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -71,15 +74,15 @@
             _ = interrupt.recv() => {}
         }
     });
-    // Held until the end, so that no further one starts.
+    // The lock is held until the exit, so that no further process starts.
     let running = running();
     let ids = running.iter().map(u32::to_string);
-    // One of them may have ended meanwhile.
+    // Fails if one of them has already exited.
     let _ = Command::new("kill").arg("-KILL").args(ids).status();
     std::process::exit(1);
 }
 
-/// Processes by host. Dropped, it ends those that it started.
+/// Processes by host, which are killed on drop.
 pub struct Processes {
     folder: PathBuf,
     children: BTreeMap<u8, Child>,
@@ -90,8 +93,8 @@
 impl Processes {
     pub fn new(folder: &Path) -> Processes {
         std::fs::create_dir_all(folder).expect("a folder");
-        WATCHES_SIGNALS.call_once(|| {
-            std::thread::spawn(end_with_this_process);
+        SIGNAL_WATCHER.call_once(|| {
+            std::thread::spawn(kill_all_on_signal);
         });
         Processes {
             folder: folder.to_owned(),
@@ -101,11 +104,11 @@
         }
     }
 
-    /// Starts the daemon with these settings; its log goes to a file.
+    /// Starts a daemon with these settings. Its log is written to a file.
     pub fn start(&mut self, host: u8, settings: &FleetSettings) {
         self.starts += 1;
         let file = self.folder.join(format!("{host}.json"));
-        std::fs::write(&file, text_of(settings)).expect("written");
+        std::fs::write(&file, settings_json(settings)).expect("written");
         let log = self.folder.join(format!("{host}-{}.log", self.starts));
         let log = File::create(log).expect("a log");
         let mut running = running();
@@ -123,48 +126,51 @@
         self.started_at.insert(host, Instant::now());
     }
 
-    /// Identity of the process of a host.
+    /// Returns the process id of a host's daemon.
     pub fn id(&self, host: u8) -> u32 {
         self.children.get(&host).expect("it was started").id()
     }
 
-    /// Whether the process of this host has run long enough to handle signals: until
-    /// a program has set its handlers, the system ends it on a signal.
+    /// Whether the process of this host has run long enough to handle signals: before its
+    /// handlers are installed, a signal terminates it.
     pub fn handles_signals(&self, host: u8) -> bool {
         let started_at = self.started_at.get(&host);
-        started_at.is_some_and(|at| at.elapsed() > TIME_TO_START)
+        started_at.is_some_and(|at| at.elapsed() > STARTUP_TIME)
     }
 
     pub fn signal(&self, host: u8, signal: Signal) {
         if let Some(child) = self.children.get(&host) {
             let id = child.id().to_string();
             let status = Command::new("kill").arg(signal.name()).arg(id).status();
-            assert!(status.is_ok_and(|status| status.success()), "no signal");
+            assert!(
+                status.is_ok_and(|status| status.success()),
+                "the signal is not sent"
+            );
         }
     }
 
-    /// Ends a process at once.
+    /// Kills a process.
     pub fn kill(&mut self, host: u8) {
         if let Some(mut child) = self.children.remove(&host) {
-            // One that has ended by itself is waited for all the same.
+            // Fails if the process has already exited; it still has to be waited for.
             let _ = child.kill();
             let _ = child.wait();
             running().remove(&child.id());
         }
     }
 
-    /// Whether a process that was told to end has done so.
-    pub fn has_ended(&mut self, host: u8) -> bool {
+    /// Whether a process that received a signal to end has exited.
+    pub fn has_exited(&mut self, host: u8) -> bool {
         let child = self.children.get_mut(&host).expect("it was started");
-        let has_ended = child.try_wait().expect("a status").is_some();
-        if has_ended && let Some(child) = self.children.remove(&host) {
+        let has_exited = child.try_wait().expect("a status").is_some();
+        if has_exited && let Some(child) = self.children.remove(&host) {
             running().remove(&child.id());
         }
-        has_ended
+        has_exited
     }
 
-    /// Hosts whose processes ended though nobody ended them.
-    pub fn ended_by_themselves(&mut self) -> Vec<u8> {
+    /// Returns the hosts whose processes exited unexpectedly.
+    pub fn exited_unexpectedly(&mut self) -> Vec<u8> {
         let children = self.children.iter_mut();
         children
             .filter_map(|(host, child)| child.try_wait().ok().flatten().map(|_| *host))
--- a/crates/coursestand-daemon/tests/soak/rate_limit.rs
+++ b/crates/coursestand-daemon/tests/soak/rate_limit.rs
@@ -1,43 +1,47 @@
-//! A back end that names a rate limit with each of its proper answers, and the judge of what
-//! it gets.
+//! A back end that announces a rate limit with each proper answer, and the check of the
+//! requests that it receives.
 
 use std::time::{Duration, Instant};
 
 use coursestand_lab::rate_limits::{RateBound, exceeded};
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 
-/// How it answers properly.
-pub const NAMES: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 1\r\n");
-/// Holds whatever happens.
+/// Its proper answer.
+pub const RATE_LIMITED_ANSWER: Behaviour = Behaviour::AnswerWith(200, "x-rate-limit: 1\r\n");
+/// Holds under all faults.
 const BOUND: RateBound = RateBound {
     per_second: 1.0,
     factor: 1.5,
     slack: 5.0,
 };
-/// By then every daemon has been told.
-const TOLD: Duration = Duration::from_secs(3);
+/// Time within which every daemon learns of the rate limit.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 const WINDOWS: [Duration; 3] = [
     Duration::from_secs(1),
     Duration::from_secs(2),
     Duration::from_secs(4),
 ];
 
-/// The same script for a back end that names its limit: each whole answer of its own does.
-pub fn naming(script: Vec<Behaviour>) -> Vec<Behaviour> {
-    let naming = script.into_iter().map(|behaviour| match behaviour {
-        Behaviour::Answer(_) | Behaviour::Slow(_) | Behaviour::Double | Behaviour::Early => NAMES,
+/// Returns the script with the rate limit in each complete answer of the back end.
+pub fn with_rate_limit(script: Vec<Behaviour>) -> Vec<Behaviour> {
+    let limited = script.into_iter().map(|behaviour| match behaviour {
+        Behaviour::Answer(_) | Behaviour::Slow(_) | Behaviour::Double | Behaviour::Early => {
+            RATE_LIMITED_ANSWER
+        }
         other => other,
     });
-    naming.collect()
+    limited.collect()
 }
 
-/// Checks that no window brought the back end more than its limit allows.
-pub fn judge(began: Instant, backend: &ScriptedBackend) -> Result<(), String> {
+/// Checks that the back end received no more requests in any window than its limit allows.
+pub fn check(began: Instant, backend: &ScriptedBackend) -> Result<(), String> {
     let arrived = backend.arrived().into_iter().map(|arrival| arrival.at);
-    let arrived: Vec<Instant> = arrived.filter(|at| *at >= began + TOLD).collect();
-    let over = exceeded(BOUND, &WINDOWS, &arrived);
-    if over.is_empty() {
+    let arrived: Vec<Instant> = arrived
+        .filter(|at| *at >= began + PROPAGATION_TIME)
+        .collect();
+    let violations = exceeded(BOUND, &WINDOWS, &arrived);
+    if violations.is_empty() {
         return Ok(());
     }
-    Err(format!("more than the rate limit: {over:?}"))
+    Err(format!("more than the rate limit: {violations:?}"))
 }
--- a/crates/coursestand-daemon/tests/soak/relay.rs
+++ b/crates/coursestand-daemon/tests/soak/relay.rs
@@ -1,4 +1,4 @@
-//! A loopback relay before a back end, which harms connections on order.
+//! A loopback relay in front of a back end, which injects faults into its connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,91 +8,91 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the relay does to its connections.
+/// A fault that the relay injects into its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// Passes everything on.
+pub enum LinkFault {
+    /// Forwards all data.
     None,
-    /// Holds each piece up.
+    /// Delays each chunk.
     Delay(Duration),
-    /// Passes requests on, and no answers.
+    /// Forwards requests but no answers.
     SilentAnswers,
-    /// Passes nothing on.
+    /// Forwards no data.
     Silent,
-    /// Resets what is open and what comes.
+    /// Resets open and new connections.
     Reset,
 }
 
-/// A relay to one address.
+/// Forwards connections to one address.
 pub struct Relay {
     address: SocketAddr,
-    harm: watch::Sender<Harm>,
+    fault: watch::Sender<LinkFault>,
 }
 
 impl Relay {
     pub async fn start(target: SocketAddr) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let harm = watch::Sender::new(Harm::None);
-        let watching = harm.subscribe();
+        let fault = watch::Sender::new(LinkFault::None);
+        let receiver = fault.subscribe();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, target, watching.clone()));
+                tokio::spawn(forward(stream, target, receiver.clone()));
             }
         });
-        Relay { address, harm }
+        Relay { address, fault }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    pub fn set(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn pass(mut caller: TcpStream, target: SocketAddr, harm: watch::Receiver<Harm>) {
+async fn forward(mut caller: TcpStream, target: SocketAddr, fault: watch::Receiver<LinkFault>) {
     let Ok(mut backend) = TcpStream::connect(target).await else {
         return;
     };
-    // Dropped without a proper end, both connections are reset.
+    // With zero linger, dropping a connection resets it.
     let _ = caller.set_zero_linger();
     let _ = backend.set_zero_linger();
-    // Owned halves would end their connections properly when they are dropped.
+    // Owned halves would shut their connections down gracefully when they are dropped.
     let (from_caller, to_caller) = caller.split();
     let (from_backend, to_backend) = backend.split();
-    let mut resetting = harm.clone();
-    let requests = copy(from_caller, to_backend, harm.clone(), Harm::Silent);
-    let answers = copy(from_backend, to_caller, harm, Harm::SilentAnswers);
+    let mut resetting = fault.clone();
+    let requests = copy(from_caller, to_backend, fault.clone(), LinkFault::Silent);
+    let answers = copy(from_backend, to_caller, fault, LinkFault::SilentAnswers);
     tokio::select! {
-        // A reset of one side ends both, and resets the other.
+        // A reset of one side resets the other.
         _ = async { tokio::try_join!(requests, answers) } => {}
         // The sender lives as long as the relay.
-        _ = resetting.wait_for(|harm| *harm == Harm::Reset) => {}
+        _ = resetting.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
-/// Copies one direction, which `silenced` stops as well as `Harm::Silent` does.
+/// Copies one direction. `silenced` stops it, as `LinkFault::Silent` does.
 async fn copy(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    mut harm: watch::Receiver<Harm>,
-    silenced: Harm,
+    mut fault: watch::Receiver<LinkFault>,
+    silenced: LinkFault,
 ) -> std::io::Result<()> {
-    let mut piece = [0; 16 * 1024];
+    let mut chunk = [0; 16 * 1024];
     loop {
-        let count = from.read(&mut piece).await?;
+        let count = from.read(&mut chunk).await?;
         if count == 0 {
             return to.shutdown().await;
         }
-        let now = *harm.borrow();
-        if let Harm::Delay(pause) = now {
-            tokio::time::sleep(pause).await;
+        let current = *fault.borrow();
+        if let LinkFault::Delay(delay) = current {
+            tokio::time::sleep(delay).await;
         }
-        let passes = |harm: &Harm| *harm != Harm::Silent && *harm != silenced;
+        let forwards = |fault: &LinkFault| *fault != LinkFault::Silent && *fault != silenced;
         // The sender lives as long as the relay.
-        let _ = harm.wait_for(passes).await;
-        to.write_all(&piece[..count]).await?;
+        let _ = fault.wait_for(forwards).await;
+        to.write_all(&chunk[..count]).await?;
     }
 }
--- a/crates/coursestand-daemon/tests/soak/shape.rs
+++ b/crates/coursestand-daemon/tests/soak/shape.rs
@@ -1,4 +1,4 @@
-//! How large a deployment is, how much it is asked and what its bounds are.
+//! The size, load and bounds of a deployment.
 
 use std::time::Duration;
 
@@ -11,28 +11,27 @@
 const FIRST_EDGE: u8 = 11;
 const RETRY_RATIO: f64 = 0.2;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Kinds of faults that a schedule of the narrow shape draws from, each counted as often as
-/// it weighs.
-const NARROW_FAULTS: u32 = 10;
-/// The same with the kill of all entry daemons and with back ends that stand still.
-const ALL_FAULTS: u32 = 13;
+/// Sum of the weights of the faults in the baseline shape.
+const BASELINE_FAULT_WEIGHT: u32 = 10;
+/// The same with kills of all entry daemons and suspended back ends.
+const TOTAL_FAULT_WEIGHT: u32 = 13;
 
 /// The shape of a deployment.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub daemons: u8,
-    /// Between two requests of a caller.
+    /// Delay between two requests of a caller.
     pub pause: Duration,
-    /// Fixed part of the bound on repeats.
+    /// Constant part of the retry bound.
     pub retry_extra: f64,
     pub has_all_faults: bool,
-    /// Whether the last back end names a rate limit with each proper answer.
+    /// Whether the last back end announces a rate limit with each proper answer.
     pub has_rate_limit: bool,
 }
 
 impl Shape {
-    /// Three busy entry daemons.
-    pub fn narrow() -> Shape {
+    /// Returns a shape with three busy entry daemons.
+    pub fn baseline() -> Shape {
         Shape {
             daemons: 3,
             pause: Duration::from_millis(5),
@@ -42,8 +41,8 @@
         }
     }
 
-    /// The shape that belongs to a seed.
-    pub fn drawn(seed: u64) -> Shape {
+    /// Returns the random shape of a seed.
+    pub fn from_seed(seed: u64) -> Shape {
         let mut random = StdRng::seed_from_u64(!seed);
         Shape {
             daemons: [3, 6, 12][random.random_range(0..3)],
@@ -54,24 +53,24 @@
         }
     }
 
-    /// Hosts of the entry daemons.
+    /// Returns the hosts of the entry daemons.
     pub fn edges(&self) -> Vec<u8> {
         (0..self.daemons)
             .map(|number| FIRST_EDGE + number)
             .collect()
     }
 
-    pub fn kinds_of_faults(&self) -> u32 {
+    pub fn fault_weight(&self) -> u32 {
         if self.has_all_faults {
-            ALL_FAULTS
+            TOTAL_FAULT_WEIGHT
         } else {
-            NARROW_FAULTS
+            BASELINE_FAULT_WEIGHT
         }
     }
 
-    /// Back ends whose connections are harmed. Requests that a relay holds back arrive together,
-    /// which no daemon can prevent: the one with a rate limit is left alone.
-    pub fn harmed_backends(&self) -> usize {
+    /// Returns the number of back ends with connection faults. The rate-limited one has none:
+    /// requests that a relay delays arrive together, which no daemon can prevent.
+    pub fn backends_with_link_faults(&self) -> usize {
         BACKENDS - usize::from(self.has_rate_limit)
     }
 
--- a/crates/coursestand-daemon/tests/tenure.rs
+++ b/crates/coursestand-daemon/tests/tenure.rs
@@ -1,5 +1,5 @@
-//! What a leader knows of daemons whose requests for news it holds: what they say
-//! counts from the arrival on, and a lease only from the answer.
+//! The leader's state of daemons with a pending long poll: progress and phase count from the
+//! arrival of the poll, and a lease only from its answer.
 #![allow(missing_docs)]
 
 use coursestand_coordination::Tables;
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 
 const TERM: u64 = 1;
-/// Every lease of an earlier leader has ended.
+/// All leases of an earlier leader have expired.
 const NOW: u64 = LEASE_MS;
 
 fn request(phase: MemberPhase, version: u64) -> FollowRequest {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A tenure in which the daemon was answered once, with version 4.
+/// Returns a tenure in which the daemon was granted one lease, for version 4.
 fn answered_once() -> Tenure {
     let mut tenure = Tenure::new(TERM, 0);
     let first = request(MemberPhase::Serving, 4);
@@ -49,19 +49,19 @@
 }
 
 #[gtest]
-fn a_held_request_has_confirmed_and_announced_already() {
+fn a_pending_poll_counts_from_its_arrival() {
     let mut tenure = answered_once();
     expect_that!(tenure.registry.confirmed_by_all(NOW, 9), eq(Some(4)));
     tenure.record_poll(&request(MemberPhase::Leaving, 9));
     expect_that!(tenure.registry.confirmed_by_all(NOW, 9), eq(Some(9)));
     expect_that!(phases(&tenure), elements_are![eq(&MemberPhase::Leaving)]);
-    // An earlier request whose hold ends now takes nothing back.
+    // The answer to an earlier poll must not revert the phase.
     tenure.record_follower(&request(MemberPhase::Serving, 4));
     expect_that!(phases(&tenure), elements_are![eq(&MemberPhase::Leaving)]);
 }
 
 #[gtest]
-fn a_daemon_without_a_lease_is_not_noted_on_arrival() {
+fn a_poll_of_a_daemon_without_a_lease_is_not_recorded_on_arrival() {
     let mut tenure = Tenure::new(TERM, 0);
     tenure.record_poll(&request(MemberPhase::Serving, 4));
     expect_that!(phases(&tenure), is_empty());
@@ -69,7 +69,7 @@
 }
 
 /// Guards against a daemon that is refused leases for the rest of the term because the
-/// leader's lease had lapsed when the command that freed its slots was applied.
+/// leader's lease had expired when the command that freed its slots was applied.
 #[gtest]
 fn a_later_round_permits_leases_that_an_earlier_one_refused() {
     let mut tenure = answered_once();
