--- a/crates/coursestand-daemon/src/control/driver.rs
+++ b/crates/coursestand-daemon/src/control/driver.rs
@@ -562,7 +562,7 @@
             }
             (None, Some(_)) => {
                 self.shared.set_leading_clock(None);
-                info!(target: LOG, "this replica no longer leads");
+                info!(target: LOG, "this replica has lost its leadership");
             }
             _ => {}
         }
--- a/crates/coursestand-daemon/src/entry/control_client.rs
+++ b/crates/coursestand-daemon/src/entry/control_client.rs
@@ -38,7 +38,7 @@
 
 type Replica = Arc<Client<ControlRequest, ControlReply>>;
 
-/// The replica that is currently taken to be the leader.
+/// The replica that is assumed to be the leader.
 struct CurrentReplica {
     replica: Replica,
     /// Value of `ControlClient::current`; modulo `count`, the index of the replica.
--- a/crates/coursestand-daemon/src/entry/reporter.rs
+++ b/crates/coursestand-daemon/src/entry/reporter.rs
@@ -80,7 +80,7 @@
         // A report follows whether the wait was notified or timed out.
         let _ = tokio::time::timeout(REPORT_INTERVAL, shared.report_now.notified()).await;
         let request = ControlRequest::Report(build_report(&daemon, &shared));
-        // Each report is complete, so a lost one is made up for by the next one.
+        // Reports are complete, so the next one compensates for a lost one.
         let _ = control.send(&request, REPORT_TIMEOUT, REPORT_TIMEOUT).await;
         if demand_period_start.elapsed() >= DEMAND_PERIOD {
             demand_period_start = Instant::now();
--- a/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
@@ -1,6 +1,6 @@
 //! Guards against granting a lease on slots that are being freed. The command that frees the
 //! slots of a daemon with an expired lease is committed only once the disks have synced it,
-//! and the daemon may request a lease before that.
+//! and the daemon may request a lease earlier.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/coursestand-daemon/tests/soak/main.rs
+++ b/crates/coursestand-daemon/tests/soak/main.rs
@@ -122,8 +122,8 @@
     } else {
         InstancePhase::Ready
     };
-    let news = heartbeat_of(id, address, beat as u64 + 1, phase);
-    let mut body = serde_json::to_value(news).expect("JSON");
+    let heartbeat = heartbeat_of(id, address, beat as u64 + 1, phase);
+    let mut body = serde_json::to_value(heartbeat).expect("JSON");
     body["born"] = (FIRST_START_MS + incarnation as u64).into();
     body.to_string()
 }
@@ -300,13 +300,13 @@
 
 /// Checks that no window has more retries than the bound allows.
 fn check_repeats(
-    asked: &[SentRequest],
+    requests: &[SentRequest],
     backends: &[ScriptedBackend],
     shape: &Shape,
 ) -> std::result::Result<(), String> {
     let arrived: Vec<Arrival> = backends.iter().flat_map(ScriptedBackend::arrived).collect();
-    let asked: Vec<Instant> = asked.iter().filter_map(|request| request.at).collect();
-    let worst = worst_window(shape.repeat_bound(), &arrived, &asked);
+    let sent_at: Vec<Instant> = requests.iter().filter_map(|request| request.at).collect();
+    let worst = worst_window(shape.repeat_bound(), &arrived, &sent_at);
     if worst.is_over() {
         return Err(format!("too many repeats in a window: {worst:?}"));
     }
@@ -316,14 +316,14 @@
 /// Checks the callers' answers against the runs of the back ends. Returns the number of served
 /// requests.
 fn check_answers(
-    asked: &[SentRequest],
+    requests: &[SentRequest],
     backends: &[ScriptedBackend],
 ) -> std::result::Result<usize, String> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for run in backends.iter().flat_map(ScriptedBackend::runs) {
         *runs.entry(run.id).or_default() += 1;
     }
-    let requests_by_id: BTreeMap<&str, &SentRequest> = asked
+    let requests_by_id: BTreeMap<&str, &SentRequest> = requests
         .iter()
         .map(|request| (request.id.as_str(), request))
         .collect();
@@ -338,13 +338,16 @@
             return Err(format!("{id} was run, its answer was {}", request.status));
         }
     }
-    for request in asked.iter().filter(|request| request.status == 200) {
+    for request in requests.iter().filter(|request| request.status == 200) {
         let has_own_id = request.echoed.as_deref() == Some(&request.id);
         if !has_own_id || request.body != format!("body of {}", request.id) {
             return Err(format!("{request:?} is not the answer to its request"));
         }
     }
-    Ok(asked.iter().filter(|request| request.status == 200).count())
+    Ok(requests
+        .iter()
+        .filter(|request| request.status == 200)
+        .count())
 }
 
 fn seeds() -> Vec<u64> {
@@ -433,7 +436,7 @@
         check_repeats(&[], &backends, &Shape::baseline()),
         ok(eq(&()))
     );
-    let asked = |id: &str, status, echoed: &str| SentRequest {
+    let sent_request = |id: &str, status, echoed: &str| SentRequest {
         id: id.to_owned(),
         at: None,
         status,
@@ -443,14 +446,14 @@
     let all = |first: SentRequest| {
         vec![
             first,
-            asked("once-3", 200, "once-3"),
-            asked("safe-2", 200, "safe-2"),
+            sent_request("once-3", 200, "once-3"),
+            sent_request("safe-2", 200, "safe-2"),
         ]
     };
     let violation_in =
-        |asked: Vec<SentRequest>| check_answers(&asked, &backends).expect_err("a violation");
+        |requests: Vec<SentRequest>| check_answers(&requests, &backends).expect_err("a violation");
     expect_that!(
-        violation_in(all(asked("once-1", 200, "once-1"))),
+        violation_in(all(sent_request("once-1", 200, "once-1"))),
         contains_substring("run 2 times")
     );
     expect_that!(violation_in(vec![]), contains_substring("never requested"));
@@ -466,7 +469,7 @@
     let idle = ScriptedBackend::start(vec![], Behaviour::Answer(200))
         .await
         .expect("a back end");
-    let foreign = check_answers(&[asked("safe-4", 200, "safe-6")], &[idle]);
+    let foreign = check_answers(&[sent_request("safe-4", 200, "safe-6")], &[idle]);
     expect_that!(foreign, err(contains_substring("is not the answer")));
     let backend = ScriptedBackend::start(vec![], Behaviour::Answer(200))
         .await
@@ -474,6 +477,6 @@
     let url = format!("http://{}/once/1", backend.address());
     let sent = http.post(url).header("x-request-id", "once-5").body("a");
     sent.send().await.expect("an answer");
-    let refused = check_answers(&[asked("once-5", 503, "")], &[backend]);
+    let refused = check_answers(&[sent_request("once-5", 503, "")], &[backend]);
     expect_that!(refused, err(contains_substring("its answer was 503")));
 }
