--- a/crates/coursestand-daemon/src/fleet/control_service.rs
+++ b/crates/coursestand-daemon/src/fleet/control_service.rs
@@ -178,7 +178,7 @@
         };
         let started = Instant::now();
         let is_leader = mesh.control.shared.leading_term().is_some();
-        if is_leader && mesh.control.deliver(Event::HandOver).is_ok() {
+        if is_leader && mesh.control.deliver(Event::TransferLeadership).is_ok() {
             while mesh.control.shared.status().role == "leader"
                 && started.elapsed() < HAND_OVER_TIMEOUT
             {
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -21,7 +21,7 @@
 use crate::control::event::Event;
 use crate::control::handle::ControlHandle;
 use crate::control::peers::Envelope;
-use crate::control::shared::{ControlShared, LogReach};
+use crate::control::shared::{ControlShared, LogExtent};
 use crate::fleet::catalog_updates::{CatalogDistribution, CatalogMessage};
 use crate::fleet::formation::Formation;
 use crate::fleet::hub::{EdgeNames, EdgeSubscriptions, Hub};
@@ -423,14 +423,14 @@
 
     /// Returns `reach` unless the replica has restarted from its disk since: what was sent may
     /// then be older than `reach`.
-    fn reach_unless_restarted(&self, reach: Option<LogReach>) -> Option<LogReach> {
-        let now = self.context.control.shared.log_reach()?;
+    fn reach_unless_restarted(&self, reach: Option<LogExtent>) -> Option<LogExtent> {
+        let now = self.context.control.shared.log_extent()?;
         reach.filter(|reach| now.applied >= reach.applied)
     }
 
     async fn answer_ping(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
         // Read first, so that all that it reports as applied is sent before the answer.
-        let reach = self.shared().log_reach();
+        let reach = self.shared().log_extent();
         self.send_catalog(sender).await?;
         let reach = self.reach_unless_restarted(reach);
         let catalog = self.shared().state().catalog().version();
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -11,7 +11,7 @@
 use coursestand_routing::{RateLimitUpdate, SharedCrashRecord, SharedFinding, TrialVerdict};
 use serde::{Deserialize, Deserializer, Serialize};
 
-use crate::control::shared::LogReach;
+use crate::control::shared::LogExtent;
 
 /// Messages that a control process receives on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -247,7 +247,7 @@
     /// applied when it received the ping was sent before this answer.
     Pong {
         /// How far its log reached then; `None` if it is not a voter.
-        reach: Option<LogReach>,
+        reach: Option<LogExtent>,
         /// Catalog version that it had applied then, or a later one.
         catalog: u64,
     },
--- a/crates/coursestand-daemon/tests/catalog_telling.rs
+++ b/crates/coursestand-daemon/tests/catalog_distribution.rs
@@ -1,6 +1,6 @@
-//! What one control process sends to one daemon of the catalog: however it comes and goes,
-//! the daemon skips no change, and neither one large change nor many small ones take much
-//! of its link. 1,400 routes in one change had filled a daemon's link for five seconds.
+//! The catalog messages from one control process to one daemon: the daemon misses no change
+//! across lost connections, and neither one large change nor many small ones saturate its
+//! link. A change of 1,400 routes in one message occupies the link for five seconds.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
@@ -16,13 +16,13 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-/// A control process and one connection of a daemon with it. What is sent waits until
-/// the test lets the daemon read it.
+/// A control process, a daemon and the connection between them. Messages are queued until the
+/// test makes the daemon read them.
 struct Connection {
     catalog: Catalog,
-    news: CatalogUpdates,
-    telling: CatalogDistribution,
-    on_the_way: VecDeque<ToEdge>,
+    updates: CatalogUpdates,
+    distribution: CatalogDistribution,
+    in_flight: VecDeque<ToEdge>,
     parts: CatalogParts,
     daemon: Catalog,
     routes: usize,
@@ -33,9 +33,9 @@
     fn new() -> Connection {
         let mut connection = Connection {
             catalog: Catalog::default(),
-            news: CatalogUpdates::default(),
-            telling: CatalogDistribution::new(0),
-            on_the_way: VecDeque::new(),
+            updates: CatalogUpdates::default(),
+            distribution: CatalogDistribution::new(0),
+            in_flight: VecDeque::new(),
             parts: CatalogParts::default(),
             daemon: Catalog::default(),
             routes: 0,
@@ -60,36 +60,36 @@
         self.merge(routes, version);
     }
 
-    fn send(&mut self, telling: CatalogMessage) {
-        let message = match telling {
+    fn send(&mut self, distribution: CatalogMessage) {
+        let message = match distribution {
             CatalogMessage::Frame(frame) => decode(&frame).expect("a message"),
             CatalogMessage::Message(message) => message,
         };
         self.sent_bytes += encode(&message).expect("a frame").len();
-        self.on_the_way.push_back(message);
+        self.in_flight.push_back(message);
     }
 
-    fn tell(&mut self) {
+    fn send_next(&mut self) {
         let read = |since| self.catalog.steering_delta(since);
         let version = self.catalog.version();
-        let telling = self.telling.next_message(version, &self.news, read);
-        if let Some(telling) = telling.expect("encoded") {
-            self.send(telling);
+        let distribution = self.distribution.next_message(version, &self.updates, read);
+        if let Some(distribution) = distribution.expect("encoded") {
+            self.send(distribution);
         }
     }
 
     fn fetch(&mut self) {
         let read = |since| self.catalog.steering_delta(since);
         let (have, version) = (self.daemon.version(), self.catalog.version());
-        let fetched = self.telling.fetch(have, version, &self.news, read);
-        for telling in fetched.expect("encoded") {
-            self.send(telling);
+        let fetched = self.distribution.fetch(have, version, &self.updates, read);
+        for distribution in fetched.expect("encoded") {
+            self.send(distribution);
         }
     }
 
-    /// The daemon reads one message. Returns whether there was one.
+    /// Makes the daemon read one message. Returns whether there was one.
     fn read(&mut self) -> bool {
-        let Some(message) = self.on_the_way.pop_front() else {
+        let Some(message) = self.in_flight.pop_front() else {
             return false;
         };
         match message {
@@ -107,7 +107,7 @@
                     }
                     Some(other) => panic!("unexpected: {other:?}"),
                     None => {
-                        if let Some(part) = self.telling.part_received(version) {
+                        if let Some(part) = self.distribution.part_received(version) {
                             self.send(part);
                         }
                     }
@@ -118,9 +118,9 @@
         true
     }
 
-    /// The daemon has everything up to its version: the items that stand there are those
-    /// of the control process as of then.
-    fn skips_nothing(&self) -> bool {
+    /// Whether the daemon has every item up to its version: those that it lacks changed later
+    /// at the control process.
+    fn is_complete_up_to_its_version(&self) -> bool {
         let version = self.daemon.version();
         let known = self.daemon.live_items().count();
         let changed_later = self.catalog.delta(version).items.len();
@@ -136,12 +136,12 @@
 #[derive(Clone, Debug)]
 enum Step {
     Add(usize),
-    Tell,
+    SendNext,
     Fetch,
     Read(usize),
-    /// The daemon got everything from another control process, and says so.
-    GotElsewhere,
-    /// The connection is made anew.
+    /// The daemon received all changes from another control process and confirms them.
+    SyncElsewhere,
+    /// The connection is lost and re-established.
     Reconnect,
 }
 
@@ -149,11 +149,11 @@
     prop_oneof![
         (1_usize..4).prop_map(Step::Add),
         (200_usize..900).prop_map(Step::Add),
-        Just(Step::Tell),
-        Just(Step::Tell),
+        Just(Step::SendNext),
+        Just(Step::SendNext),
         Just(Step::Fetch),
         (1_usize..6).prop_map(Step::Read),
-        Just(Step::GotElsewhere),
+        Just(Step::SyncElsewhere),
         Just(Step::Reconnect),
     ]
 }
@@ -161,32 +161,32 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
     #[test]
-    fn a_daemon_skips_no_change(steps in prop::collection::vec(step(), 1..25)) {
+    fn a_daemon_misses_no_change(steps in prop::collection::vec(step(), 1..25)) {
         let mut connection = Connection::new();
         for step in steps {
             match step {
                 Step::Add(count) => connection.add_routes(count),
-                Step::Tell => connection.tell(),
+                Step::SendNext => connection.send_next(),
                 Step::Fetch => connection.fetch(),
                 Step::Read(count) => {
                     for _ in 0..count {
                         connection.read();
                     }
                 }
-                Step::GotElsewhere => {
+                Step::SyncElsewhere => {
                     let rest = connection.catalog.steering_delta(connection.daemon.version());
                     connection.daemon.adopt(rest);
-                    connection.telling.note_version(connection.daemon.version());
+                    connection.distribution.note_version(connection.daemon.version());
                 }
                 Step::Reconnect => {
-                    connection.on_the_way.clear();
+                    connection.in_flight.clear();
                     connection.parts = CatalogParts::default();
-                    connection.telling = CatalogDistribution::new(connection.daemon.version());
+                    connection.distribution = CatalogDistribution::new(connection.daemon.version());
                 }
             }
-            prop_assert!(connection.skips_nothing());
+            prop_assert!(connection.is_complete_up_to_its_version());
         }
-        // Asked to the end, it has everything.
+        // After a final fetch, the daemon has every item.
         while connection.read() {}
         connection.fetch();
         while connection.read() {}
@@ -197,19 +197,23 @@
 #[gtest]
 fn a_large_change_is_not_sent_faster_than_it_is_read() {
     let mut connection = Connection::new();
-    connection.tell();
+    connection.send_next();
     connection.read();
     connection.add_routes(1_400);
     connection.sent_bytes = 0;
-    connection.tell();
-    expect_that!(connection.sent_bytes, lt(16), "it is only told of");
+    connection.send_next();
+    expect_that!(
+        connection.sent_bytes,
+        lt(16),
+        "only its version is announced"
+    );
     connection.fetch();
-    // 0.14 s of a link of 2 Mbit/s.
-    const ON_THE_WAY: usize = 35_000;
+    // 0.14 s of a 2 Mbit/s link.
+    const MAX_UNREAD_BYTES: usize = 35_000;
     let mut read_bytes = 0;
     loop {
-        expect_that!(connection.sent_bytes - read_bytes, lt(ON_THE_WAY));
-        let Some(next) = connection.on_the_way.front() else {
+        expect_that!(connection.sent_bytes - read_bytes, lt(MAX_UNREAD_BYTES));
+        let Some(next) = connection.in_flight.front() else {
             break;
         };
         read_bytes += encode(next).expect("a frame").len();
@@ -219,32 +223,32 @@
 }
 
 #[gtest]
-fn many_small_changes_are_told_together() {
-    /// A quarter of what 2 Mbit/s pass, and the daemon follows five control processes.
+fn many_small_changes_are_sent_together() {
+    /// Five control processes at this rate use a quarter of a 2 Mbit/s link.
     const BYTES_PER_SECOND: usize = 12_500;
     const CHANGES: usize = 1_400;
     let mut connection = Connection::new();
-    connection.tell();
+    connection.send_next();
     connection.read();
     connection.sent_bytes = 0;
     let mut next_at_ms = 0;
-    let mut longest_behind = 0;
+    let mut max_lag = 0;
     for now_ms in 0..CHANGES as u64 {
         connection.add_routes(1);
         if now_ms >= next_at_ms {
-            connection.tell();
-            next_at_ms = now_ms + connection.telling.pause().as_millis() as u64;
+            connection.send_next();
+            next_at_ms = now_ms + connection.distribution.pause().as_millis() as u64;
         }
         while connection.read() {}
         let behind = connection.catalog.version() - connection.daemon.version();
-        longest_behind = behind.max(longest_behind);
+        max_lag = behind.max(max_lag);
     }
     expect_that!(
         connection.sent_bytes,
         lt(CHANGES * BYTES_PER_SECOND / 1_000)
     );
-    // From then on there is too much to be sent unasked: the daemon has to ask.
-    expect_that!(longest_behind, gt(100));
+    // With a larger lag, changes are sent only in reply to a request.
+    expect_that!(max_lag, gt(100));
     connection.fetch();
     while connection.read() {}
     expect_that!(connection.has_all(), eq(true));
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coursestand_catalog::{Catalog, Patch, RouteKind};
-use coursestand_daemon::control::shared::LogReach;
+use coursestand_daemon::control::shared::LogExtent;
 use coursestand_daemon::fleet::catalog_updates::{
     CatalogDistribution, CatalogMessage, CatalogUpdates,
 };
@@ -28,7 +28,7 @@
 
 struct Script {
     catalog: Catalog,
-    reach: Option<LogReach>,
+    reach: Option<LogExtent>,
     group: ControlGroup,
     /// Time by which all messages after the group are delayed on a new connection.
     table_delay: Duration,
@@ -76,7 +76,7 @@
             address,
             script: Arc::new(Mutex::new(Script {
                 catalog,
-                reach: Some(LogReach {
+                reach: Some(LogExtent {
                     end: FIRST_CHANGE,
                     applied: FIRST_CHANGE,
                 }),
@@ -142,7 +142,7 @@
         {
             let mut script = self.script();
             script.catalog.merge(patch, index).expect("valid");
-            script.reach = Some(LogReach {
+            script.reach = Some(LogExtent {
                 end: index,
                 applied: index,
             });
@@ -339,8 +339,8 @@
     replies
 }
 
-fn message_of(telling: CatalogMessage) -> ToEdge {
-    match telling {
+fn message_of(catalog_message: CatalogMessage) -> ToEdge {
+    match catalog_message {
         CatalogMessage::Frame(frame) => decode(&frame).expect("a message"),
         CatalogMessage::Message(message) => message,
     }
@@ -354,6 +354,6 @@
 ) -> Option<ToEdge> {
     let script = shared.script();
     let read = |since| script.catalog.steering_delta(since);
-    let telling = distribution.next_message(script.catalog.version(), ready, read);
-    telling.expect("encoded").map(message_of)
+    let catalog_message = distribution.next_message(script.catalog.version(), ready, read);
+    catalog_message.expect("encoded").map(message_of)
 }
--- a/crates/coursestand-daemon/tests/instance_starts.rs
+++ b/crates/coursestand-daemon/tests/instance_starts.rs
@@ -1,5 +1,5 @@
-//! Processes that know when incarnations of back ends started work side by side with
-//! processes that don't: each reads what the other sends.
+//! Compatibility of `ToEdge::Instances` between processes that send the start times of back
+//! ends and earlier versions that don't: each decodes the other's messages.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use googletest::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The message as processes without starts have it, at its place among the others.
+/// `ToEdge` in versions without start times. `Instances` has the same position.
 #[derive(Debug, Serialize, Deserialize)]
-enum Before {
+enum EarlierToEdge {
     Pong,
     Catalog,
     CatalogIsAt,
@@ -21,7 +21,7 @@
     Instances(Vec<InstanceUpdate>),
 }
 
-fn news(born: Option<Millis>) -> InstanceUpdate {
+fn update(born: Option<Millis>) -> InstanceUpdate {
     InstanceUpdate {
         instance: Instance {
             id: BackendId::from("i"),
@@ -39,31 +39,35 @@
 }
 
 #[gtest]
-fn starts_arrive_with_their_news() {
-    let told = vec![news(Some(1_796_259_000_123)), news(None)];
-    let message = ToEdge::Instances(told.clone(), StartTimes::of(&told));
+fn start_times_are_decoded_with_their_updates() {
+    let updates = vec![update(Some(1_796_259_000_123)), update(None)];
+    let message = ToEdge::Instances(updates.clone(), StartTimes::of(&updates));
     let frame = encode(&message).expect("encoded");
     let ToEdge::Instances(read, starts) = decode(&frame).expect("read") else {
         panic!("another message");
     };
-    expect_that!(starts.join(read), eq(&told));
+    expect_that!(starts.join(read), eq(&updates));
 }
 
 #[gtest]
-fn a_process_of_before_reads_news_without_their_starts() {
-    let told = vec![news(Some(1_796_259_000_123))];
-    let frame = encode(&ToEdge::Instances(told.clone(), StartTimes::of(&told))).expect("encoded");
-    let Before::Instances(read) = decode(&frame).expect("read") else {
+fn earlier_versions_decode_updates_without_start_times() {
+    let updates = vec![update(Some(1_796_259_000_123))];
+    let frame = encode(&ToEdge::Instances(
+        updates.clone(),
+        StartTimes::of(&updates),
+    ))
+    .expect("encoded");
+    let EarlierToEdge::Instances(read) = decode(&frame).expect("read") else {
         panic!("another message");
     };
-    expect_that!(read, eq(&vec![news(None)]));
+    expect_that!(read, eq(&vec![update(None)]));
 }
 
 #[gtest]
-fn news_of_a_process_of_before_tell_no_starts() {
-    let frame = encode(&Before::Instances(vec![news(None)])).expect("encoded");
+fn updates_of_earlier_versions_have_no_start_times() {
+    let frame = encode(&EarlierToEdge::Instances(vec![update(None)])).expect("encoded");
     let ToEdge::Instances(read, starts) = decode(&frame).expect("read") else {
         panic!("another message");
     };
-    expect_that!(starts.join(read), eq(&vec![news(None)]));
+    expect_that!(starts.join(read), eq(&vec![update(None)]));
 }
--- a/crates/coursestand-lab/src/scale.rs
+++ b/crates/coursestand-lab/src/scale.rs
@@ -270,7 +270,9 @@
     let mut tables = Tables::default();
     while !traffic.stop.load(Ordering::Relaxed) {
         let message = ControlRequest::Follow(request.clone());
-        let answer = client.ask(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT).await;
+        let answer = client
+            .send(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)
+            .await;
         if let Ok(ControlReply::Follow(delta)) = answer {
             count(&traffic, &message);
             count(&traffic, &delta);
@@ -296,7 +298,7 @@
     while !traffic.stop.load(Ordering::Relaxed) {
         tokio::time::sleep(REPORT_INTERVAL).await;
         if client
-            .ask(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)
+            .send(&message, ATTEMPT_TIMEOUT, ATTEMPT_TIMEOUT)
             .await
             .is_ok()
         {
