--- a/crates/coursestand-daemon/src/daemon.rs
+++ b/crates/coursestand-daemon/src/daemon.rs
@@ -71,7 +71,7 @@
 impl Daemon {
     /// Starts the daemon that `settings` describe.
     pub async fn start(settings: &DaemonSettings) -> Result<Daemon, DaemonError> {
-        let clock = MonotonicClock::of_process();
+        let clock = MonotonicClock::for_process();
         let mut kernel = Kernel::new();
         if let Some(control) = &settings.control_role {
             add_control(&mut kernel, control, clock);
--- a/crates/coursestand-daemon/src/fleet/node.rs
+++ b/crates/coursestand-daemon/src/fleet/node.rs
@@ -57,7 +57,7 @@
         file: Option<PathBuf>,
         dialect: Arc<dyn Dialect>,
     ) -> Result<Node, NodeError> {
-        let clock = MonotonicClock::of_process();
+        let clock = MonotonicClock::for_process();
         let (seeds, following) = watch::channel(settings.seed_addresses());
         let mut kernel = Kernel::new();
         logging::register(kernel.registry().metrics()).context(MetricsSnafu)?;
--- a/crates/coursestand-daemon/tests/following/suspended.rs
+++ b/crates/coursestand-daemon/tests/following/suspended.rs
@@ -19,7 +19,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_to_what_was_sent_before_a_suspension_proves_no_connection() {
     let controls = controls(DELAY).await;
-    let (clock, suspension) = MonotonicClock::with_suspensions();
+    let (clock, suspension) = MonotonicClock::with_simulated_suspensions();
     let daemon = Daemon::start_with(clock, &addresses(&controls));
     let started = Instant::now();
     while daemon.follower.followed_count() < CONTROLS && started.elapsed() < WITHIN {
--- a/crates/coursestand-gateway/tests/outcomes.rs
+++ b/crates/coursestand-gateway/tests/outcomes.rs
@@ -175,7 +175,7 @@
         delay: Duration::from_millis(120),
         ..NaiveOnce::default()
     };
-    let (clock, suspension) = MonotonicClock::with_suspensions();
+    let (clock, suspension) = MonotonicClock::with_simulated_suspensions();
     let bench = bench_with_clock(clock, backends.clone(), once, &tables(&TWO, 4));
     let serving = bench.serve("pay", Some("1000-k"));
     let suspend_and_renew = async {
--- a/crates/coursestand-kernel/src/admin.rs
+++ b/crates/coursestand-kernel/src/admin.rs
@@ -14,8 +14,8 @@
 use crate::kernel::Kernel;
 use crate::service::Health;
 
-/// Requests on the admin interface get this long once the process stops.
-const GRACE: Duration = Duration::from_secs(1);
+/// Time for admin requests in flight to finish when the process stops.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
 /// The admin interface of one process.
 pub struct Admin {
@@ -25,16 +25,16 @@
 impl Admin {
     /// Serves the state of `kernel` on `address`.
     pub async fn start(address: SocketAddr, kernel: Kernel) -> Result<Admin, HttpError> {
-        let server = HttpServer::start(address, routes(Arc::new(kernel)), GRACE).await?;
+        let server = HttpServer::start(address, routes(Arc::new(kernel)), SHUTDOWN_GRACE).await?;
         Ok(Admin { server })
     }
 
-    /// The address on which it listens.
+    /// Returns the address on which the interface listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Ends the interface.
+    /// Stops the interface after its requests in flight.
     pub async fn stop(&self) {
         self.server.drain().await;
     }
@@ -67,16 +67,16 @@
 #[handler]
 fn health(kernel: Data<&Arc<Kernel>>) -> Response {
     let health = kernel.health();
-    let ready = health.iter().all(|(_, health)| *health == Health::Ready);
+    let is_ready = health.iter().all(|(_, health)| *health == Health::Ready);
     let services: Map<String, Value> = health
         .into_iter()
         .map(|(name, health)| (name.to_owned(), json!(health)))
         .collect();
-    let status = if ready {
+    let status = if is_ready {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    let body = Json(json!({ "ready": ready, "services": services }));
+    let body = Json(json!({ "ready": is_ready, "services": services }));
     body.with_status(status).into_response()
 }
--- a/crates/coursestand-kernel/src/clock.rs
+++ b/crates/coursestand-kernel/src/clock.rs
@@ -7,10 +7,11 @@
 
 const LOG: &str = "clock";
 
-/// The clock of promises: leases, ages of news and back-offs are judged by it. It counts
-/// from the start of the process, and goes on while the process is stopped by a signal or
-/// the machine is suspended, so that whoever wakes sees that its leases have ended. Timers
-/// of the runtime don't count a suspension: what they wake asks this clock.
+/// Monotonic clock for leases, back-offs and the ages of updates. It starts at 0 when it is
+/// created and continues while the process is stopped by a signal or the machine is
+/// suspended, so that a process sees after a suspension which of its leases have expired.
+/// Timers of the async runtime don't count suspensions: a task that a timer wakes must read
+/// this clock.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     source: Source,
@@ -19,71 +20,71 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    /// Counts suspensions; the time since the machine started when the clock was made.
+    /// `CLOCK_BOOTTIME`, which counts suspensions. Holds its value at the clock's creation.
     Boot(Duration),
-    /// Doesn't.
-    Steady(Instant),
+    /// `CLOCK_MONOTONIC`, which doesn't count suspensions.
+    Monotonic(Instant),
 }
 
 impl Source {
-    fn begin() -> Source {
-        since_boot().map_or_else(|| Source::Steady(Instant::now()), Source::Boot)
+    fn new() -> Source {
+        time_since_boot().map_or_else(|| Source::Monotonic(Instant::now()), Source::Boot)
     }
 
     fn elapsed(self) -> Duration {
         match self {
-            // It was readable when the clock was made, and always is from then on.
-            Source::Boot(start) => since_boot().unwrap_or(start).saturating_sub(start),
-            Source::Steady(start) => start.elapsed(),
+            // The boot clock was readable at creation and stays so, so the fallback is unused.
+            Source::Boot(start) => time_since_boot().unwrap_or(start).saturating_sub(start),
+            Source::Monotonic(start) => start.elapsed(),
         }
     }
 }
 
-/// Time since the machine started, suspensions counted; `None` where the system has no such
-/// clock or refuses it.
-fn since_boot() -> Option<Duration> {
+/// Returns the time since the machine booted, including suspensions, or `None` if the system
+/// has no such clock or denies access to it.
+fn time_since_boot() -> Option<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME)
         .ok()
         .map(Duration::from)
 }
 
-/// Suspensions of the machine as a test brings them about: timers and the steady clock
-/// don't notice them.
+/// Simulates suspensions of the machine in tests. Timers and `Instant` are not affected.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulatedSuspension(&'static AtomicU64);
 
 impl SimulatedSuspension {
-    /// The machine was suspended for this long.
-    pub fn suspend_ms(&self, lasted: u64) {
-        self.0.fetch_add(lasted, Ordering::SeqCst);
+    /// Advances the clock by a suspension of `duration_ms`.
+    pub fn suspend_ms(&self, duration_ms: u64) {
+        self.0.fetch_add(duration_ms, Ordering::SeqCst);
     }
 }
 
 impl Default for MonotonicClock {
     fn default() -> Self {
         MonotonicClock {
-            source: Source::begin(),
+            source: Source::new(),
             simulated: None,
         }
     }
 }
 
 impl MonotonicClock {
-    /// The clock of a process, which logs whether it counts suspensions.
-    pub fn of_process() -> MonotonicClock {
+    /// Returns the clock of a process and logs whether it counts suspensions.
+    pub fn for_process() -> MonotonicClock {
         let clock = MonotonicClock::default();
         match clock.source {
             Source::Boot(_) => {
-                log::info!(target: LOG, counts_suspension = true; "promises are judged by the boot clock");
+                log::info!(target: LOG, counts_suspension = true; "leases are measured with the boot-time clock, which counts suspensions");
             }
-            Source::Steady(_) => log::warn!(target: LOG, counts_suspension = false;
-                "promises are judged by the steady clock: there is no boot clock, and leases outlive a suspension"),
+            Source::Monotonic(_) => log::warn!(target: LOG, counts_suspension = false;
+                "no boot-time clock: leases are measured with the monotonic clock and outlive a suspension"),
         }
         clock
     }
 
-    /// A clock of a machine that is suspended by a test. It is never freed.
-    pub fn with_suspensions() -> (MonotonicClock, SimulatedSuspension) {
+    /// Returns a clock and the handle by which a test simulates suspensions. The state that
+    /// they share is leaked.
+    pub fn with_simulated_suspensions() -> (MonotonicClock, SimulatedSuspension) {
         let suspension = SimulatedSuspension(Box::leak(Box::default()));
         let clock = MonotonicClock {
             simulated: Some(suspension),
@@ -92,19 +93,21 @@
         (clock, suspension)
     }
 
-    /// Whether it counts suspensions of the machine.
+    /// Returns whether the clock counts suspensions of the machine.
     pub fn counts_suspension(&self) -> bool {
         matches!(self.source, Source::Boot(_))
     }
 
-    /// Milliseconds since the clock was made.
+    /// Returns the milliseconds since the clock was created.
     pub fn now(&self) -> u64 {
-        let suspended = self.simulated.map(|one| one.0.load(Ordering::SeqCst));
+        let suspended = self
+            .simulated
+            .map(|suspension| suspension.0.load(Ordering::SeqCst));
         self.source.elapsed().as_millis() as u64 + suspended.unwrap_or_default()
     }
 }
 
-/// Wall clock in Unix milliseconds.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/coursestand-kernel/src/http.rs
+++ b/crates/coursestand-kernel/src/http.rs
@@ -1,4 +1,4 @@
-//! Runs an HTTP server on a listener until it is told to stop.
+//! An HTTP server with graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -13,10 +13,10 @@
 /// Why a server could not start.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// The address can't be listened on.
+    /// The listener could not be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address from the settings.
+        /// The address.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
@@ -31,8 +31,8 @@
 }
 
 impl HttpServer {
-    /// Listens on `address` and serves `endpoint`. Once told to stop, requests
-    /// in flight get up to `grace` to finish.
+    /// Listens on `address` and serves `endpoint`. After [`HttpServer::drain`] is called,
+    /// requests in flight have up to `grace` to finish.
     pub async fn start<E>(
         address: SocketAddr,
         endpoint: E,
@@ -57,22 +57,22 @@
         })
     }
 
-    /// The address on which the server listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting and waits for requests in flight.
+    /// Stops accepting connections and waits for requests in flight.
     pub async fn drain(&self) {
         self.shutdown.send_replace(true);
         let task = self.take_task();
         if let Some(task) = task {
-            // A server task that panicked has nothing in flight any more.
+            // If the server task panicked, no request is in flight.
             let _ = task.await;
         }
     }
 
-    /// Ends the server and every request in flight.
+    /// Aborts the server and every request in flight.
     pub fn abort(&self) {
         if let Some(task) = self.take_task() {
             task.abort();
@@ -100,6 +100,6 @@
         .run_with_graceful_shutdown(endpoint, stop, Some(grace))
         .await;
     if let Err(error) = result {
-        log::error!(target: "kernel", "an HTTP server ended: {error}");
+        log::error!(target: "kernel", "HTTP server failed: {error}");
     }
 }
--- a/crates/coursestand-kernel/src/kernel.rs
+++ b/crates/coursestand-kernel/src/kernel.rs
@@ -1,5 +1,5 @@
 //! Starts services in the order of their registration; drains and stops them in
-//! the opposite order.
+//! reverse order.
 
 use std::sync::Arc;
 
@@ -19,22 +19,22 @@
 }
 
 impl Kernel {
-    /// A kernel without services.
+    /// Returns a kernel without services.
     pub fn new() -> Kernel {
         Kernel::default()
     }
 
-    /// Adds a service; it starts after those added before.
+    /// Adds a service, which starts after the services added earlier.
     pub fn add(&mut self, service: Arc<dyn Service>) {
         self.services.push(service);
     }
 
-    /// Handles of this process by name.
+    /// Returns the registry of service handles and metrics.
     pub fn registry(&self) -> &Arc<Registry> {
         &self.registry
     }
 
-    /// Starts all services. When one fails, those before it are stopped.
+    /// Starts all services. If one fails, those already started are stopped.
     pub async fn start(&self) -> Result<(), ServiceError> {
         for (index, service) in self.services.iter().enumerate() {
             if let Err(error) = service.start(&self.registry).await {
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Lets every service finish its work, then stops it.
+    /// Drains all services, then stops them.
     pub async fn drain_and_stop(&self) {
         for service in self.services.iter().rev() {
             service.drain().await;
@@ -57,7 +57,7 @@
         self.stop().await;
     }
 
-    /// Stops all services at once.
+    /// Stops all services without draining them.
     pub async fn stop(&self) {
         for service in self.services.iter().rev() {
             service.stop().await;
@@ -65,17 +65,17 @@
         info!(target: LOG, "all services stopped");
     }
 
-    /// The state of every service, by name.
+    /// Returns the state dump of every service, by name.
     pub fn dump(&self) -> Value {
-        let parts: Map<String, Value> = self
+        let dumps: Map<String, Value> = self
             .services
             .iter()
             .map(|service| (service.name().to_owned(), service.dump()))
             .collect();
-        Value::Object(parts)
+        Value::Object(dumps)
     }
 
-    /// The health of every service, by name.
+    /// Returns the health of every service, by name.
     pub fn health(&self) -> Vec<(&'static str, Health)> {
         self.services
             .iter()
--- a/crates/coursestand-kernel/src/lib.rs
+++ b/crates/coursestand-kernel/src/lib.rs
@@ -1,6 +1,6 @@
-//! The micro-kernel of a coursestand process: services register under a name,
-//! find each other by name, and are started, drained, stopped and dumped in
-//! order. Logging, metrics and the admin interface are part of it.
+//! The micro-kernel of a coursestand process: it starts, drains and stops services in
+//! order, dumps their state, and lets them find each other by name. It also provides
+//! logging, metrics and the admin interface.
 
 pub mod admin;
 pub mod clock;
--- a/crates/coursestand-kernel/src/logging/limit.rs
+++ b/crates/coursestand-kernel/src/logging/limit.rs
@@ -1,58 +1,58 @@
-//! Limits the lines of one kind in each second.
+//! Limits the log lines per second of each call site.
 
 use std::collections::HashMap;
 
 use log::Record;
 
-/// Whether a line may be written.
+/// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Allowed {
-    /// It may; so many of its kind were left out before it.
-    Yes {
-        /// Lines left out.
-        left_out: u32,
+pub enum LineDecision {
+    /// The line is written.
+    Emit {
+        /// Lines of this call site that were suppressed since its last written line.
+        suppressed: u32,
     },
-    /// There were too many of its kind in this second.
-    No,
+    /// The call site has reached its limit for this second.
+    Suppress,
 }
 
 #[derive(Default)]
 struct Count {
     second: u64,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
-/// Counts lines by kind: the place in the code that logs them.
-pub struct KindLimit {
-    most: u32,
-    kinds: HashMap<(Option<&'static str>, Option<u32>), Count>,
+/// Counts lines per call site, which is identified by file and line number.
+pub struct CallSiteLimit {
+    max_per_second: u32,
+    call_sites: HashMap<(Option<&'static str>, Option<u32>), Count>,
 }
 
-impl KindLimit {
-    /// `most` lines of a kind in each second.
-    pub fn new(most: u32) -> KindLimit {
-        KindLimit {
-            most,
-            kinds: HashMap::new(),
+impl CallSiteLimit {
+    /// Allows `max_per_second` lines per second for each call site.
+    pub fn new(max_per_second: u32) -> CallSiteLimit {
+        CallSiteLimit {
+            max_per_second,
+            call_sites: HashMap::new(),
         }
     }
 
-    /// Whether `record` may be written in this second.
-    pub fn check(&mut self, second: u64, record: &Record<'_>) -> Allowed {
-        let kind = (record.file_static(), record.line());
-        let count = self.kinds.entry(kind).or_default();
+    /// Decides whether `record` is written. `second` is the current Unix time in seconds.
+    pub fn check(&mut self, second: u64, record: &Record<'_>) -> LineDecision {
+        let call_site = (record.file_static(), record.line());
+        let count = self.call_sites.entry(call_site).or_default();
         if count.second != second {
             count.second = second;
             count.written = 0;
         }
-        if count.written >= self.most {
-            count.left_out += 1;
-            return Allowed::No;
+        if count.written >= self.max_per_second {
+            count.suppressed += 1;
+            return LineDecision::Suppress;
         }
         count.written += 1;
-        Allowed::Yes {
-            left_out: std::mem::take(&mut count.left_out),
+        LineDecision::Emit {
+            suppressed: std::mem::take(&mut count.suppressed),
         }
     }
 }
--- a/crates/coursestand-kernel/src/logging/mod.rs
+++ b/crates/coursestand-kernel/src/logging/mod.rs
@@ -1,9 +1,9 @@
-//! Structured logs: one JSON object a line on standard output, with the time, the
-//! process, the level and the fixed prefix of the part that speaks.
+//! Structured logs: one JSON object per line on standard output, with the time, the
+//! process, the level and the log target (field `part`).
 //!
-//! Logging never blocks the process. A line goes into a bounded queue that a
-//! thread writes out; when the queue is full the line is dropped and counted, and
-//! the count is itself logged. Lines of one kind are limited in each second.
+//! Logging never blocks the process. Lines are queued in a bounded queue, which a
+//! separate thread writes out. When the queue is full, lines are dropped and counted,
+//! and the count is logged. Each call site is limited to a number of lines per second.
 
 mod limit;
 mod line;
@@ -16,69 +16,69 @@
 use prometheus::{IntCounter, Registry};
 use snafu::{ResultExt, Snafu};
 
-pub use limit::{Allowed, KindLimit};
+pub use limit::{CallSiteLimit, LineDecision};
 pub use line::json_line;
 pub use queue::LineQueue;
 
-/// Lines that wait to be written.
-const QUEUE_LINES: usize = 4_096;
-/// Lines of one kind that are written in a second.
-const LINES_OF_A_KIND: u32 = 200;
+/// Capacity of the queue, in lines.
+const QUEUE_CAPACITY_LINES: usize = 4_096;
+/// Limit on the lines per second of one call site.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
 /// Why logging could not be set up.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The level is not one that logging knows.
-    #[snafu(display("log level {level} is not known"))]
+    /// The level is not a valid log level.
+    #[snafu(display("unknown log level {level}"))]
     Level {
-        /// Level asked for.
+        /// The configured level.
         level: String,
         /// Cause.
         source: log::ParseLevelError,
     },
-    /// Logging was set up before.
-    #[snafu(display("logging is set up already"))]
-    Twice {
+    /// Logging is already set up.
+    #[snafu(display("logging is already set up"))]
+    AlreadySetUp {
         /// Cause.
         source: log::SetLoggerError,
     },
-    /// The thread that writes could not start.
-    #[snafu(display("logs can't be written: {source}"))]
+    /// The writer thread could not be started.
+    #[snafu(display("cannot start the log writer thread: {source}"))]
     Writer {
         /// Cause.
         source: std::io::Error,
     },
 }
 
-static LINES: OnceLock<LineQueue> = OnceLock::new();
+static LINE_QUEUE: OnceLock<LineQueue> = OnceLock::new();
 
-/// Writes messages of `level` and above to standard output. Libraries speak only
-/// from `warn` on.
+/// Writes messages of `level` and above to standard output. Messages of third-party
+/// libraries are written only from `warn` on.
 pub fn set_up(process: &str, level: &str) -> Result<(), LoggingError> {
     let level = log::LevelFilter::from_str(level).context(LevelSnafu { level })?;
-    let lines = LineQueue::start(std::io::stdout(), process.to_owned(), QUEUE_LINES)
+    let queue = LineQueue::start(std::io::stdout(), process.to_owned(), QUEUE_CAPACITY_LINES)
         .context(WriterSnafu)?;
-    let lines = LINES.get_or_init(|| lines);
-    let limit = std::sync::Mutex::new(KindLimit::new(LINES_OF_A_KIND));
+    let queue = LINE_QUEUE.get_or_init(|| queue);
+    let limiter = std::sync::Mutex::new(CallSiteLimit::new(MAX_LINES_PER_SECOND));
     let process = process.to_owned();
     let mut dispatch = fern::Dispatch::new().level(level.min(log::LevelFilter::Warn));
-    for target in PARTS {
+    for target in LOG_TARGETS {
         dispatch = dispatch.level_for(target, level);
     }
     let output = fern::Output::call(move |record| {
         let now = since_epoch();
-        let allowed = limit
+        let decision = limiter
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
             .check(now.as_secs(), record);
-        let left_out = match allowed {
-            Allowed::No => return,
-            Allowed::Yes { left_out } => left_out,
+        let suppressed = match decision {
+            LineDecision::Suppress => return,
+            LineDecision::Emit { suppressed } => suppressed,
         };
-        let line = json_line(now, &process, record, left_out);
-        lines.push(line, record.level() <= log::Level::Warn);
+        let line = json_line(now, &process, record, suppressed);
+        queue.push(line, record.level() <= log::Level::Warn);
     });
-    dispatch.chain(output).apply().context(TwiceSnafu)
+    dispatch.chain(output).apply().context(AlreadySetUpSnafu)
 }
 
 fn since_epoch() -> Duration {
@@ -87,30 +87,30 @@
         .unwrap_or_default()
 }
 
-/// Waits a moment for the lines in the queue to be written, before the process
-/// ends.
+/// Waits up to 200 ms until the queued lines are written. Called before the process
+/// exits.
 pub fn flush() {
-    const LONGEST: Duration = Duration::from_millis(200);
-    if let Some(lines) = LINES.get() {
-        lines.wait_until_written(LONGEST);
+    const MAX_WAIT: Duration = Duration::from_millis(200);
+    if let Some(queue) = LINE_QUEUE.get() {
+        queue.wait_until_written(MAX_WAIT);
     }
 }
 
-/// Makes the count of dropped lines known as `coursestand_log_lines_dropped_total`.
+/// Registers the metric `coursestand_log_lines_dropped_total`.
 pub fn register(registry: &Registry) -> Result<(), prometheus::Error> {
     let counter = IntCounter::new(
         "coursestand_log_lines_dropped_total",
         "Log lines dropped because the queue was full",
     )?;
     registry.register(Box::new(counter.clone()))?;
-    if let Some(lines) = LINES.get() {
-        lines.count_into(counter);
+    if let Some(queue) = LINE_QUEUE.get() {
+        queue.export_dropped(counter);
     }
     Ok(())
 }
 
-/// Prefixes of the parts of coursestand.
-pub const PARTS: [&str; 16] = [
+/// Log targets of coursestand itself, in contrast to those of libraries.
+pub const LOG_TARGETS: [&str; 16] = [
     "clock",
     "admin",
     "consensus",
--- a/crates/coursestand-kernel/src/logging/queue.rs
+++ b/crates/coursestand-kernel/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of lines and the thread that writes them.
+//! The bounded queue of log lines and its writer thread.
 
 use std::io::{BufWriter, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -9,11 +9,11 @@
 use prometheus::IntCounter;
 use serde_json::json;
 
-/// Lines are written at most this often: fewer wake-ups and system calls.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Part of the queue that lines about successes may fill; the rest is kept for
+/// Pause between two writes. Batching saves wake-ups and system calls.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Share of the queue that lines below `warn` may fill; the rest is reserved for
 /// failures.
-const PART_FOR_SUCCESSES: f64 = 0.75;
+const SUCCESS_SHARE: f64 = 0.75;
 
 #[derive(Default)]
 struct Counts {
@@ -22,28 +22,28 @@
     counter: OnceLock<IntCounter>,
 }
 
-/// Takes lines without waiting.
+/// Queues log lines without blocking the caller.
 pub struct LineQueue {
     lines: SyncSender<String>,
     counts: Arc<Counts>,
-    most: usize,
+    capacity: usize,
 }
 
 impl LineQueue {
-    /// Writes to `output` on a thread of its own; `most` lines wait at most.
+    /// Starts a thread that writes to `output`. The queue holds up to `capacity` lines.
     pub fn start(
         output: impl Write + Send + 'static,
         process: String,
-        most: usize,
+        capacity: usize,
     ) -> std::io::Result<LineQueue> {
-        let (lines, queue) = sync_channel(most);
+        let (lines, queue) = sync_channel(capacity);
         let counts = Arc::new(Counts::default());
         let writer = Writer {
             output: BufWriter::new(output),
             queue,
             counts: Arc::clone(&counts),
             process,
-            told: 0,
+            reported: 0,
         };
         std::thread::Builder::new()
             .name("logs".to_owned())
@@ -52,17 +52,17 @@
         Ok(LineQueue {
             lines,
             counts,
-            most,
+            capacity,
         })
     }
 
-    /// Takes a line, or drops and counts it when the queue is full. Lines about
-    /// failures have room when others no longer have.
+    /// Queues a line; drops and counts it if the queue is full. Lines about failures
+    /// may use the reserved part of the queue.
     pub fn push(&self, line: String, is_failure: bool) {
         let queued = self.counts.queued.load(Ordering::Relaxed) as f64;
-        let has_room = is_failure || queued < self.most as f64 * PART_FOR_SUCCESSES;
-        if has_room {
-            // Counted first: the writer may take it out at once.
+        let has_capacity = is_failure || queued < self.capacity as f64 * SUCCESS_SHARE;
+        if has_capacity {
+            // Counted before it is sent, because the writer may receive it at once.
             self.counts.queued.fetch_add(1, Ordering::Relaxed);
             if self.lines.try_send(line).is_ok() {
                 return;
@@ -75,21 +75,21 @@
         }
     }
 
-    /// Lines dropped so far.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Counts dropped lines into a metric from now on.
-    pub fn count_into(&self, counter: IntCounter) {
-        // The first registry of the process has the metric.
+    /// Adds lines dropped after this call to `counter`.
+    pub fn export_dropped(&self, counter: IntCounter) {
+        // Only the first counter is kept: a process has one metrics registry.
         let _ = self.counts.counter.set(counter);
     }
 
-    /// Waits until all lines are written, `longest` at most.
-    pub fn wait_until_written(&self, longest: Duration) {
+    /// Blocks until all queued lines are written, for up to `max_wait`.
+    pub fn wait_until_written(&self, max_wait: Duration) {
         let started = Instant::now();
-        while self.counts.queued.load(Ordering::Relaxed) > 0 && started.elapsed() < longest {
+        while self.counts.queued.load(Ordering::Relaxed) > 0 && started.elapsed() < max_wait {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -100,18 +100,19 @@
     queue: Receiver<String>,
     counts: Arc<Counts>,
     process: String,
-    /// Dropped lines that were told.
-    told: u64,
+    /// Dropped lines that are already reported in the log.
+    reported: u64,
 }
 
 impl<W: Write> Writer<W> {
     fn run(mut self) {
         while let Ok(first) = self.queue.recv() {
             if self.write_batch(first).is_err() {
-                // Nobody reads any more; lines are dropped from here on.
+                // The output is closed. Later lines are dropped, because the queue's
+                // receiver goes away.
                 return;
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 
@@ -122,15 +123,15 @@
             self.output.write_all(line.as_bytes())?;
             written += 1;
         }
-        self.tell_dropped()?;
+        self.report_dropped()?;
         self.output.flush()?;
         self.counts.queued.fetch_sub(written, Ordering::Relaxed);
         Ok(())
     }
 
-    fn tell_dropped(&mut self) -> std::io::Result<()> {
+    fn report_dropped(&mut self) -> std::io::Result<()> {
         let dropped = self.counts.dropped.load(Ordering::Relaxed);
-        if dropped == self.told {
+        if dropped == self.reported {
             return Ok(());
         }
         let line = json!({
@@ -138,9 +139,9 @@
             "level": "WARN",
             "part": "kernel",
             "message": "log lines were dropped",
-            "dropped": dropped - self.told,
+            "dropped": dropped - self.reported,
         });
-        self.told = dropped;
+        self.reported = dropped;
         writeln!(self.output, "{line}")
     }
 }
--- a/crates/coursestand-kernel/src/registry.rs
+++ b/crates/coursestand-kernel/src/registry.rs
@@ -1,4 +1,4 @@
-//! Finds handles of services by name.
+//! Typed service handles, registered and looked up by name.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -9,21 +9,21 @@
 /// Why a handle was not found.
 #[derive(Debug, Snafu)]
 pub enum RegistryError {
-    /// Nothing has this name.
-    #[snafu(display("no service has the name {name}"))]
+    /// No handle is registered under this name.
+    #[snafu(display("no service is registered as {name}"))]
     UnknownName {
-        /// The name asked for.
+        /// The requested name.
         name: String,
     },
-    /// The name belongs to a handle of another type.
-    #[snafu(display("service {name} has a handle of another type"))]
-    OtherType {
-        /// The name asked for.
+    /// The handle registered under this name has another type.
+    #[snafu(display("the handle of service {name} has another type than requested"))]
+    TypeMismatch {
+        /// The requested name.
         name: String,
     },
 }
 
-/// Typed handles by name, and the metrics of the process.
+/// Typed handles by name, and the metrics registry of the process.
 #[derive(Default)]
 pub struct Registry {
     handles: RwLock<BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>>,
@@ -31,7 +31,7 @@
 }
 
 impl Registry {
-    /// Makes `handle` known under `name`, in place of an earlier one.
+    /// Registers `handle` under `name` and replaces an earlier handle of that name.
     pub fn publish<T: Any + Send + Sync>(&self, name: &'static str, handle: Arc<T>) {
         self.handles
             .write()
@@ -39,7 +39,7 @@
             .insert(name, handle);
     }
 
-    /// The handle known under `name`.
+    /// Returns the handle registered under `name`.
     pub fn find<T: Any + Send + Sync>(&self, name: &str) -> Result<Arc<T>, RegistryError> {
         let handles = self
             .handles
@@ -52,12 +52,12 @@
             })?;
         Arc::clone(handle)
             .downcast()
-            .map_err(|_| RegistryError::OtherType {
+            .map_err(|_| RegistryError::TypeMismatch {
                 name: name.to_owned(),
             })
     }
 
-    /// Metrics of this process.
+    /// Returns the metrics registry of this process.
     pub fn metrics(&self) -> &prometheus::Registry {
         &self.metrics
     }
--- a/crates/coursestand-kernel/src/service.rs
+++ b/crates/coursestand-kernel/src/service.rs
@@ -1,4 +1,4 @@
-//! What every service of a process implements.
+//! The trait that every service of a process implements.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 pub struct ServiceError {
     /// Name of the service.
     pub service: &'static str,
-    /// What went wrong, turned into text by the service.
+    /// The cause, as text.
     pub reason: String,
 }
 
 impl ServiceError {
-    /// Turns an error of the layer below into one of this layer.
+    /// Wraps an error of `service` as text.
     pub fn new(service: &'static str, reason: impl ToString) -> ServiceError {
         ServiceError {
             service,
@@ -33,34 +33,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "health", rename_all = "kebab-case")]
 pub enum Health {
-    /// It can.
+    /// The service works.
     Ready,
-    /// It can't, for this reason.
+    /// The service can't do its work.
     NotReady {
         /// The reason.
         reason: String,
     },
 }
 
-/// A part of a process with a life cycle.
+/// A component of a process with a life cycle.
 #[async_trait]
 pub trait Service: Send + Sync {
-    /// Fixed name, unique in the process.
+    /// Returns the fixed name, unique within the process.
     fn name(&self) -> &'static str;
 
-    /// Starts the work; services registered earlier have started already.
+    /// Starts the service. Services registered earlier are already started.
     async fn start(&self, registry: &Arc<Registry>) -> Result<(), ServiceError>;
 
-    /// Finishes work in flight and takes no new work. Returns when done.
+    /// Accepts no new work and returns when the work in flight is finished.
     async fn drain(&self) {}
 
-    /// Ends at once what still runs.
+    /// Stops at once and aborts the work in flight.
     async fn stop(&self) {}
 
-    /// The service's part of the state dump.
+    /// Returns the service's part of the state dump.
     fn dump(&self) -> Value;
 
-    /// Whether the service can do its work.
+    /// Returns whether the service can do its work.
     fn health(&self) -> Health {
         Health::Ready
     }
--- a/crates/coursestand-kernel/tests/clock.rs
+++ b/crates/coursestand-kernel/tests/clock.rs
@@ -1,6 +1,5 @@
-//! The clock of promises goes on while the machine is suspended. A machine can't be suspended
-//! here: the source is checked, and what happens by it is tested with suspensions that the
-//! clock simulates.
+//! The monotonic clock counts suspensions of the machine. A test can't suspend the machine, so
+//! one test checks the clock source and the others simulate suspensions.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -8,34 +7,34 @@
 use coursestand_kernel::MonotonicClock;
 use googletest::prelude::*;
 
-const PAUSE: Duration = Duration::from_millis(60);
+const OBSERVED_TIME: Duration = Duration::from_millis(60);
 
 #[cfg(target_os = "linux")]
 #[gtest]
-fn promises_are_judged_by_a_clock_that_counts_suspensions() {
+fn the_clock_source_counts_suspensions() {
     expect_that!(MonotonicClock::default().counts_suspension(), eq(true));
 }
 
 #[gtest]
-fn it_counts_from_when_it_was_made_and_never_back() {
+fn the_clock_starts_near_zero_and_never_goes_back() {
     let clock = MonotonicClock::default();
-    let began = std::time::Instant::now();
-    let mut before = clock.now();
-    expect_that!(before, lt(1_000));
-    while began.elapsed() < PAUSE {
+    let started = std::time::Instant::now();
+    let mut previous = clock.now();
+    expect_that!(previous, lt(1_000));
+    while started.elapsed() < OBSERVED_TIME {
         let now = clock.now();
-        expect_that!(now, ge(before));
-        before = now;
+        expect_that!(now, ge(previous));
+        previous = now;
     }
-    expect_that!(clock.now(), ge(PAUSE.as_millis() as u64 - 1));
+    expect_that!(clock.now(), ge(OBSERVED_TIME.as_millis() as u64 - 1));
 }
 
 #[gtest]
-fn a_simulated_suspension_is_counted_and_steady_time_is_not_changed() {
-    let (clock, suspension) = MonotonicClock::with_suspensions();
-    let steady = std::time::Instant::now();
+fn a_simulated_suspension_advances_the_clock_and_not_instant() {
+    let (clock, suspension) = MonotonicClock::with_simulated_suspensions();
+    let instant = std::time::Instant::now();
     suspension.suspend_ms(5_000);
     suspension.suspend_ms(2_000);
     expect_that!(clock.now(), ge(7_000));
-    expect_that!(steady.elapsed(), lt(Duration::from_millis(2_000)));
+    expect_that!(instant.elapsed(), lt(Duration::from_millis(2_000)));
 }
--- a/crates/coursestand-kernel/tests/logging.rs
+++ b/crates/coursestand-kernel/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs are bounded and never hold up the process.
+//! The log queue is bounded, and logging never blocks the process.
 #![allow(missing_docs)]
 
 use std::io::Write;
@@ -6,21 +6,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use coursestand_kernel::logging::{Allowed, KindLimit, LineQueue, json_line};
+use coursestand_kernel::logging::{CallSiteLimit, LineDecision, LineQueue, json_line};
 use googletest::prelude::*;
 use log::{Level, Record};
 
-const QUEUE: usize = 16;
-const LONGEST: Duration = Duration::from_secs(20);
+const QUEUE_CAPACITY: usize = 16;
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// An output whose reader does not read until it is told to.
-struct Stuck {
+/// An output that blocks until the test opens its gate, like a pipe that is not read.
+struct BlockedOutput {
     gate: Receiver<()>,
     is_open: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if !self.is_open {
             let _ = self.gate.recv();
@@ -36,46 +36,46 @@
 }
 
 #[gtest]
-fn a_reader_that_stops_reading_holds_nobody_up_and_the_loss_is_told() {
+fn a_blocked_output_does_not_block_callers_and_dropped_lines_are_reported() {
     let (open, gate) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = Stuck {
+    let output = BlockedOutput {
         gate,
         is_open: false,
         written: Arc::clone(&written),
     };
-    let queue = LineQueue::start(output, "edge-1".to_owned(), QUEUE).expect("a thread");
-    // Ten times what fits, with nobody reading: each push must return.
-    for number in 0..QUEUE * 10 {
+    let queue = LineQueue::start(output, "edge-1".to_owned(), QUEUE_CAPACITY).expect("a thread");
+    // Ten times the capacity while the output is blocked: each push must return.
+    for number in 0..QUEUE_CAPACITY * 10 {
         queue.push(format!("line {number}\n"), true);
     }
     let dropped = queue.dropped();
-    expect_that!(dropped, ge(QUEUE as u64));
+    expect_that!(dropped, ge(QUEUE_CAPACITY as u64));
     open.send(()).expect("the writer waits");
-    queue.wait_until_written(LONGEST);
+    queue.wait_until_written(MAX_WAIT);
     let text = String::from_utf8(written.lock().expect("lock").clone()).expect("text");
     expect_that!(text, contains_substring("line 0\n"));
     expect_that!(text, contains_substring(format!("\"dropped\":{dropped}")));
 }
 
 #[gtest]
-fn failures_have_room_when_successes_no_longer_have() {
+fn failures_are_queued_after_the_share_of_successes_is_full() {
     let (open, gate) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = Stuck {
+    let output = BlockedOutput {
         gate,
         is_open: false,
         written: Arc::clone(&written),
     };
-    let queue = LineQueue::start(output, "edge-1".to_owned(), QUEUE).expect("a thread");
-    for number in 0..QUEUE * 2 {
+    let queue = LineQueue::start(output, "edge-1".to_owned(), QUEUE_CAPACITY).expect("a thread");
+    for number in 0..QUEUE_CAPACITY * 2 {
         queue.push(format!("success {number}\n"), false);
     }
-    let before = queue.dropped();
+    let dropped_before = queue.dropped();
     queue.push("failure\n".to_owned(), true);
-    expect_that!(queue.dropped(), eq(before));
+    expect_that!(queue.dropped(), eq(dropped_before));
     open.send(()).expect("the writer waits");
-    queue.wait_until_written(LONGEST);
+    queue.wait_until_written(MAX_WAIT);
     let text = String::from_utf8(written.lock().expect("lock").clone()).expect("text");
     expect_that!(text, contains_substring("failure\n"));
 }
@@ -90,24 +90,24 @@
 }
 
 #[gtest]
-fn lines_of_a_kind_are_limited_each_second_and_those_left_out_are_counted() {
-    let mut limit = KindLimit::new(2);
-    let yes = |left_out| Allowed::Yes { left_out };
-    expect_that!(limit.check(1, &record_at(7)), eq(yes(0)));
-    expect_that!(limit.check(1, &record_at(7)), eq(yes(0)));
-    expect_that!(limit.check(1, &record_at(7)), eq(Allowed::No));
-    expect_that!(limit.check(1, &record_at(7)), eq(Allowed::No));
-    // Another kind has a limit of its own.
-    expect_that!(limit.check(1, &record_at(8)), eq(yes(0)));
-    expect_that!(limit.check(2, &record_at(7)), eq(yes(2)));
+fn each_call_site_is_limited_per_second_and_suppressed_lines_are_counted() {
+    let mut limiter = CallSiteLimit::new(2);
+    let emitted = |suppressed| LineDecision::Emit { suppressed };
+    expect_that!(limiter.check(1, &record_at(7)), eq(emitted(0)));
+    expect_that!(limiter.check(1, &record_at(7)), eq(emitted(0)));
+    expect_that!(limiter.check(1, &record_at(7)), eq(LineDecision::Suppress));
+    expect_that!(limiter.check(1, &record_at(7)), eq(LineDecision::Suppress));
+    // Each call site has its own limit.
+    expect_that!(limiter.check(1, &record_at(8)), eq(emitted(0)));
+    expect_that!(limiter.check(2, &record_at(7)), eq(emitted(2)));
 }
 
 #[gtest]
-fn a_line_is_one_json_object_with_its_values() {
+fn a_line_is_one_json_object_with_the_key_values_of_the_record() {
     let values: &[(&str, log::kv::Value<'_>)] = &[
         ("request", log::kv::Value::from("9c41")),
         ("attempt", log::kv::Value::from(2_u64)),
-        // A field of the line itself can't be overwritten.
+        // A reserved field can't be overwritten.
         ("process", log::kv::Value::from("forged")),
     ];
     let record = Record::builder()
