--- a/crates/coursestand-daemon/src/fleet/control_api.rs
+++ b/crates/coursestand-daemon/src/fleet/control_api.rs
@@ -200,7 +200,7 @@
 
     fn heartbeat_answer(&self, result: Result<(), NotSpread>) -> Response {
         match result {
-            Ok(()) => respond(StatusCode::OK, self.dialect.heartbeat_taken(None)),
+            Ok(()) => respond(StatusCode::OK, self.dialect.heartbeat_accepted(None)),
             Err(NotSpread) => unavailable("the other control processes don't know of it yet"),
         }
     }
--- a/crates/coursestand-dialect/src/call.rs
+++ b/crates/coursestand-dialect/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls, replies, and the trait that translates them.
+//! Calls, replies, and the trait that parses and encodes them.
 
 use std::net::SocketAddr;
 
@@ -9,54 +9,54 @@
 use http::{Method, StatusCode, Uri};
 use snafu::Snafu;
 
-/// What a process is asked.
+/// A call to a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Change items of the catalog.
+    /// Changes items of the catalog.
     PatchCatalog(Patch),
-    /// Read all items that stand.
+    /// Reads all current items of the catalog.
     ReadCatalog,
-    /// A back end says that it lives, and what it is.
+    /// A back end reports that it is alive, with its address, service and state.
     Heartbeat(InstanceNews),
-    /// An incarnation of a back end says that it ends.
+    /// An incarnation of a back end reports that it is shutting down.
     Deregister {
         /// The back end.
         id: BackendId,
-        /// When the incarnation started, in milliseconds since the Unix epoch; none where
-        /// it doesn't tell: then it is the one that is known.
+        /// Start of the incarnation in milliseconds since the Unix epoch. `None` refers to
+        /// the incarnation that is currently registered.
         born: Option<Millis>,
     },
-    /// Evacuate a zone, or take that back.
+    /// Evacuates a zone or ends its evacuation.
     Evacuate {
         /// The zone.
         zone: ZoneId,
-        /// Whether nothing may be sent to its back ends.
+        /// Whether the zone is evacuated: its back ends receive no requests.
         is_active: bool,
     },
-    /// Which entry daemons a client should use.
+    /// Asks which entry daemons a client should use.
     Lookup {
         /// The client's region.
         region: RegionId,
         /// The client's zone.
         zone: ZoneId,
     },
-    /// Whether this process is ready.
+    /// Asks whether the process is ready.
     Ready,
 }
 
-/// Why a call can't be understood. Nothing of it takes effect.
+/// Why a call can't be parsed. An invalid call has no effect.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub))]
 pub enum CallError {
-    /// There is no such call.
-    #[snafu(display("there is no call {method} {path}"))]
+    /// No call has this method and path.
+    #[snafu(display("unknown call {method} {path}"))]
     Unknown {
-        /// Its method.
+        /// The method.
         method: String,
-        /// Its path.
+        /// The path.
         path: String,
     },
-    /// The body is not what the call takes.
+    /// The body is invalid.
     #[snafu(display("body, field `{field}`: {reason}"))]
     Body {
         /// The field.
@@ -67,7 +67,7 @@
 }
 
 impl CallError {
-    /// An error in `field` of a body.
+    /// Returns an error about `field` of a body.
     pub fn body(field: impl Into<String>, reason: impl ToString) -> CallError {
         CallError::Body {
             field: field.into(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             CallError::Unknown { .. } => StatusCode::NOT_FOUND,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// Media type.
@@ -94,7 +94,7 @@
 }
 
 impl Reply {
-    /// A JSON reply.
+    /// Returns a JSON reply.
     pub fn json(value: &serde_json::Value) -> Reply {
         Reply {
             content_type: "application/json",
@@ -103,7 +103,8 @@
     }
 }
 
-/// The value of a query's parameter; empty when it is not there.
+/// Returns the value of a query parameter, or an empty string if it is missing. The value is
+/// not percent-decoded.
 pub fn query_value(uri: &Uri, name: &str) -> String {
     let pairs = uri.query().unwrap_or_default().split('&');
     pairs
@@ -113,21 +114,22 @@
         .unwrap_or_default()
 }
 
-/// How a deployment words calls and replies. It translates only: it decides
-/// nothing and holds no state.
+/// Maps the HTTP interface of a deployment to calls and replies. A dialect only translates:
+/// it makes no decisions and holds no state.
 pub trait Dialect: Send + Sync {
-    /// Names of the headers of requests and answers.
+    /// Returns the header names of requests and responses.
     fn header_names(&self) -> HeaderNames;
 
-    /// Understands a call.
+    /// Parses a call.
     fn parse(&self, method: &Method, uri: &Uri, body: &[u8]) -> Result<Call, CallError>;
 
-    /// Words all items that stand.
+    /// Encodes all current items of the catalog.
     fn catalog(&self, catalog: &Catalog) -> Reply;
 
-    /// Words the answer to a heartbeat. `home` is where later ones should go.
-    fn heartbeat_taken(&self, home: Option<SocketAddr>) -> Reply;
+    /// Encodes the reply to an accepted heartbeat. `home` is the address to which the back end
+    /// should send later heartbeats.
+    fn heartbeat_accepted(&self, home: Option<SocketAddr>) -> Reply;
 
-    /// Words the answer to a look-up.
+    /// Encodes the reply to a look-up. `ttl` is in milliseconds.
     fn lookup(&self, addresses: &[SocketAddr], ttl: Millis) -> Reply;
 }
--- a/crates/coursestand-dialect/src/lib.rs
+++ b/crates/coursestand-dialect/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators, back ends and clients ask of a fleet's processes, in the
-//! product's own terms, and the trait by which a deployment words it.
+//! The calls that operators, back ends and clients make to the processes of a fleet,
+//! and the trait that maps the HTTP interface of a deployment to them.
 //!
-//! [`Native`] is the project's own wording: JSON bodies under `/v1`.
+//! [`Native`] is the default dialect: JSON bodies under `/v1`.
 
 pub mod call;
 pub mod native;
--- a/crates/coursestand-dialect/src/native.rs
+++ b/crates/coursestand-dialect/src/native.rs
@@ -1,4 +1,4 @@
-//! The project's own wording: `docs/CALLERS.md`.
+//! The default dialect, documented in `docs/CALLERS.md`.
 
 use std::net::SocketAddr;
 
@@ -13,22 +13,22 @@
 
 use crate::call::{Call, CallError, Dialect, Reply, query_value};
 
-/// The project's own wording.
+/// The default dialect: JSON bodies under `/v1`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
-/// When an incarnation of a back end started, as it says at the top level of a body.
+/// The start time of an incarnation, a field at the top level of a body.
 #[derive(Deserialize)]
-struct Start {
+struct IncarnationStart {
     born: Option<Millis>,
 }
 
-/// A body may be missing.
-fn parse_start(body: &[u8]) -> Result<Option<Millis>, CallError> {
+/// Returns the start time in a body, or `None` if the body is empty or has no start time.
+fn parse_born(body: &[u8]) -> Result<Option<Millis>, CallError> {
     if body.is_empty() {
         return Ok(None);
     }
-    Ok(parse_json::<Start>(body)?.born)
+    Ok(parse_json::<IncarnationStart>(body)?.born)
 }
 
 fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
@@ -46,13 +46,13 @@
             ("POST", ["v1", "catalog"]) => Call::PatchCatalog(parse_json::<Patch>(body)?),
             ("GET", ["v1", "catalog"]) => Call::ReadCatalog,
             ("POST", ["v1", "backends", _]) => {
-                let mut news = parse_json::<InstanceNews>(body)?;
-                news.instance.born = parse_json::<Start>(body)?.born;
-                Call::Heartbeat(news)
+                let mut update = parse_json::<InstanceNews>(body)?;
+                update.instance.born = parse_json::<IncarnationStart>(body)?.born;
+                Call::Heartbeat(update)
             }
             ("DELETE", ["v1", "backends", id]) => Call::Deregister {
                 id: BackendId::from(*id),
-                born: parse_start(body)?,
+                born: parse_born(body)?,
             },
             ("PUT" | "DELETE", ["v1", "closed-zones", zone]) => Call::Evacuate {
                 zone: ZoneId::from(*zone),
@@ -81,7 +81,7 @@
         Reply::json(&json!({ "items": items }))
     }
 
-    fn heartbeat_taken(&self, home: Option<SocketAddr>) -> Reply {
+    fn heartbeat_accepted(&self, home: Option<SocketAddr>) -> Reply {
         Reply::json(&json!({ "home": home }))
     }
 
