--- a/crates/coursestand-cli/src/arguments.rs
+++ b/crates/coursestand-cli/src/arguments.rs
@@ -1,20 +1,20 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use gumdrop::Options;
 
-/// Options of a call to the operators' interface: its own besides those that all
-/// such calls have.
-macro_rules! operator_call {
+/// Defines the options of a command that calls the operator API: `--help`, `--control` and
+/// the given ones.
+macro_rules! operator_options {
     ($name:ident { $($options:tt)* }) => {
         #[derive(Debug, Options)]
         pub struct $name {
             #[options(help = "print this help")]
             pub help: bool,
             #[options(
-                help = "operators' addresses of the control replicas",
+                help = "operator API addresses of the control replicas",
                 meta = "IP:PORT"
             )]
             pub control: Vec<SocketAddr>,
@@ -23,7 +23,7 @@
     };
 }
 
-/// Arguments of the tool.
+/// Arguments of the program.
 #[derive(Debug, Options)]
 pub struct Arguments {
     #[options(help = "print this help")]
@@ -35,11 +35,11 @@
 /// Commands.
 #[derive(Debug, Options)]
 pub enum Command {
-    #[options(help = "run a whole deployment in this process for a while")]
+    #[options(help = "run a complete deployment in this process for a limited time")]
     Demo(DemoOptions),
-    #[options(help = "check, sign, submit and follow policy bundles")]
+    #[options(help = "check, sign and submit policy bundles, show their state")]
     Bundle(BundleOptions),
-    #[options(help = "form the control group, replace a replica, show its status")]
+    #[options(help = "form the control group, replace a replica, show the replicas' status")]
     Control(ControlOptions),
     #[options(help = "move traffic away from region:NAME, zone:NAME or backend:NAME")]
     Drain(DrainOptions),
@@ -47,13 +47,13 @@
     Restore(DrainOptions),
     #[options(help = "print the state of a process")]
     Dump(DumpOptions),
-    #[options(help = "ask an entry daemon which daemons to use")]
+    #[options(help = "ask an entry daemon which entry daemons a client should use")]
     Lookup(LookupOptions),
-    #[options(help = "tell what became of a request, from the logs of processes")]
+    #[options(help = "explain the outcome of a request from the logs of processes")]
     Explain(ExplainOptions),
-    #[options(help = "make an operator's key")]
+    #[options(help = "generate an operator's key")]
     Key(KeyOptions),
-    #[options(help = "run the emulated world and load of the testbed")]
+    #[options(help = "run the testbed's emulated back ends and load generator")]
     Lab(LabOptions),
     #[options(help = "print the JSON schema of settings, bundle or deployment files")]
     Schema(SchemaOptions),
@@ -65,9 +65,9 @@
     pub help: bool,
     #[options(help = "hut or coop", default = "hut", meta = "NAME")]
     pub deployment: String,
-    #[options(help = "how long requests start", default = "15", meta = "N")]
+    #[options(help = "duration of the load in seconds", default = "15", meta = "N")]
     pub seconds: u64,
-    #[options(help = "requests a second", default = "300", meta = "N")]
+    #[options(help = "requests per second", default = "300", meta = "N")]
     pub rate: f64,
     #[options(help = "print the figures as JSON")]
     pub json: bool,
@@ -85,7 +85,7 @@
 pub enum BundleCommand {
     #[options(help = "check a bundle file")]
     Lint(FileOptions),
-    #[options(help = "sign a bundle file; add sign-offs to a signed one")]
+    #[options(help = "sign a bundle file, or add a signature to a signed one")]
     Sign(SignOptions),
     #[options(help = "submit a signed bundle")]
     Submit(SubmitOptions),
@@ -93,7 +93,7 @@
     Status(OperatorOptions),
     #[options(help = "show the accepted changes")]
     History(OperatorOptions),
-    #[options(help = "put the bundle of an earlier revision in force again")]
+    #[options(help = "roll back to the bundle of an earlier revision")]
     Roll(RollOptions),
 }
 
@@ -109,7 +109,11 @@
 pub struct SignOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(free, required, help = "bundle file, or signed bundle to add to")]
+    #[options(
+        free,
+        required,
+        help = "bundle file, or signed bundle to which a signature is added"
+    )]
     pub file: PathBuf,
     #[options(help = "operator's key file", required, meta = "FILE")]
     pub key: PathBuf,
@@ -117,28 +121,28 @@
     pub output: PathBuf,
 }
 
-operator_call!(SubmitOptions {
+operator_options!(SubmitOptions {
     #[options(free, required, help = "signed bundle file")]
     pub file: PathBuf,
     #[options(
-        help = "revision against which the bundle was made",
+        help = "revision on which the bundle is based",
         required,
         meta = "N"
     )]
     pub expected: u64,
     #[options(
-        help = "name of this submit; the same again gives the same answer",
+        help = "idempotency key: submitting it again returns the first answer",
         meta = "TEXT"
     )]
     pub submission: Option<String>,
 });
 
-operator_call!(OperatorOptions {
+operator_options!(OperatorOptions {
     #[options(help = "print JSON")]
     pub json: bool,
 });
 
-operator_call!(RollOptions {
+operator_options!(RollOptions {
     #[options(free, required, help = "the earlier revision")]
     pub revision: u64,
     #[options(help = "operator's key file", required, meta = "FILE")]
@@ -159,9 +163,9 @@
 pub enum ControlCommand {
     #[options(help = "form a control group of blank replicas")]
     Init(InitOptions),
-    #[options(help = "put a blank replica in the place of a lost one")]
+    #[options(help = "replace a lost replica by a blank one")]
     Replace(ReplaceOptions),
-    #[options(help = "show every replica")]
+    #[options(help = "show the status of every replica")]
     Status(OperatorOptions),
 }
 
@@ -169,31 +173,37 @@
 pub struct InitOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(help = "operators' addresses of the blank replicas", meta = "IP:PORT")]
+    #[options(
+        help = "operator API addresses of the blank replicas",
+        meta = "IP:PORT"
+    )]
     pub control: Vec<SocketAddr>,
-    #[options(help = "key files of the operators who may sign", meta = "FILE")]
+    #[options(
+        help = "key files of the operators who may sign changes",
+        meta = "FILE"
+    )]
     pub key: Vec<PathBuf>,
-    #[options(help = "sign-offs that a change needs", default = "1", meta = "N")]
+    #[options(help = "signatures that a change requires", default = "1", meta = "N")]
     pub required: usize,
     #[options(
-        help = "number of the group, to go on with a call that was cut off",
+        help = "identity of the group, to resume an interrupted call",
         meta = "N"
     )]
     pub cluster: Option<u64>,
 }
 
-operator_call!(ReplaceOptions {
+operator_options!(ReplaceOptions {
     #[options(help = "identity of the lost replica", required, meta = "N")]
     pub lost: u64,
     #[options(
-        help = "operators' address of the blank replica",
+        help = "operator API address of the blank replica",
         required,
         meta = "IP:PORT"
     )]
     pub with: Option<SocketAddr>,
 });
 
-operator_call!(DrainOptions {
+operator_options!(DrainOptions {
     #[options(free, required, help = "region:NAME, zone:NAME or backend:NAME")]
     pub target: String,
     #[options(help = "operator's key file", required, meta = "FILE")]
@@ -234,7 +244,7 @@
 pub struct KeyOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(free, required, help = "file for the key; it must not be there")]
+    #[options(free, required, help = "file for the key; it must not exist")]
     pub file: PathBuf,
     #[options(help = "name of the operator", required, meta = "NAME")]
     pub operator: String,
@@ -254,9 +264,9 @@
     Prepare(PrepareOptions),
     #[options(help = "run the back ends and the platform list of a deployment")]
     World(WorldOptions),
-    #[options(help = "make load and check what the back ends recorded")]
+    #[options(help = "generate load and check it against the back ends' records")]
     Load(LoadOptions),
-    #[options(help = "measure the control group with hollow daemons")]
+    #[options(help = "measure the control group with simulated daemons")]
     Scale(ScaleOptions),
 }
 
@@ -268,7 +278,7 @@
     pub deployment: String,
     #[options(help = "folder for the files", required, meta = "DIR")]
     pub folder: PathBuf,
-    #[options(help = "data folder that the settings name", required, meta = "DIR")]
+    #[options(help = "data folder to set in the settings", required, meta = "DIR")]
     pub data: PathBuf,
     #[options(help = "first port on 127.0.0.1", default = "21000", meta = "N")]
     pub port: u16,
@@ -290,11 +300,11 @@
     pub deployment: PathBuf,
     #[options(help = "addresses of entry daemons", meta = "IP:PORT")]
     pub entry: Vec<SocketAddr>,
-    #[options(help = "how long requests start", default = "15", meta = "N")]
+    #[options(help = "duration of the load in seconds", default = "15", meta = "N")]
     pub seconds: u64,
-    #[options(help = "requests a second", default = "200", meta = "N")]
+    #[options(help = "requests per second", default = "200", meta = "N")]
     pub rate: f64,
-    #[options(help = "seed of the choices", default = "1", meta = "N")]
+    #[options(help = "seed of the random choices", default = "1", meta = "N")]
     pub seed: u64,
     #[options(help = "print the figures as JSON")]
     pub json: bool,
@@ -305,12 +315,12 @@
     #[options(help = "print this help")]
     pub help: bool,
     #[options(
-        help = "hollow daemons, one number a step",
+        help = "numbers of simulated daemons, one per step",
         default = "10,100,1000",
         meta = "N,N"
     )]
     pub steps: String,
-    #[options(help = "changes in each step", default = "40", meta = "N")]
+    #[options(help = "changes per step", default = "40", meta = "N")]
     pub changes: u64,
     #[options(help = "print JSON")]
     pub json: bool,
--- a/crates/coursestand-cli/src/commands/bundle.rs
+++ b/crates/coursestand-cli/src/commands/bundle.rs
@@ -21,8 +21,8 @@
     FileSnafu, JsonSnafu, LoadSnafu, NotAcceptedSnafu, OperatorSnafu, ToolError, UsageSnafu,
 };
 
-/// Longest wait for a leader to answer.
-pub const WITHIN: Duration = Duration::from_secs(15);
+/// Time limit for an answer of the control group's leader.
+pub const LEADER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Runs a bundle command.
 pub async fn run(options: BundleOptions) -> Result<(), ToolError> {
@@ -33,12 +33,12 @@
         Some(BundleCommand::Status(options)) => status(options).await,
         Some(BundleCommand::History(options)) => history(options).await,
         Some(BundleCommand::Roll(options)) => roll(options).await,
-        None => usage("bundle needs a command: lint, sign, submit, status, history, roll"),
+        None => usage_error("bundle needs a command: lint, sign, submit, status, history, roll"),
     }
 }
 
-/// Refuses a call whose words are off.
-pub fn usage(reason: &str) -> Result<(), ToolError> {
+/// Fails with an error about invalid arguments.
+pub fn usage_error(reason: &str) -> Result<(), ToolError> {
     UsageSnafu { reason }.fail()
 }
 
@@ -51,25 +51,25 @@
     Ok(())
 }
 
-/// An operator who only asks, and signs nothing.
-pub fn reader(control: Vec<SocketAddr>) -> Result<Operator, ToolError> {
+/// Returns an operator client that signs nothing.
+pub fn read_only_operator(control: Vec<SocketAddr>) -> Result<Operator, ToolError> {
     if control.is_empty() {
         let reason = "--control is needed: operators' addresses of the control replicas";
         return UsageSnafu { reason }.fail();
     }
-    let unused = SigningKey::from_bytes(&[0; 32]);
-    Ok(Operator::new(control, "", unused))
+    let unused_key = SigningKey::from_bytes(&[0; 32]);
+    Ok(Operator::new(control, "", unused_key))
 }
 
-/// An operator with a key file.
-pub fn operator(control: Vec<SocketAddr>, key_file: &Path) -> Result<Operator, ToolError> {
+/// Returns an operator client that signs with the key of a file.
+pub fn operator_with_key(control: Vec<SocketAddr>, key_file: &Path) -> Result<Operator, ToolError> {
     let key = key::read(key_file)?;
-    reader(control.clone())?;
+    read_only_operator(control.clone())?;
     Ok(Operator::new(control, &key.operator, key.key))
 }
 
-/// Accepted, or an error with the answer.
-pub fn accepted(answer: &SubmitAnswer) -> Result<(), ToolError> {
+/// Prints the revision of an accepted change. Fails with any other answer.
+pub fn require_accepted(answer: &SubmitAnswer) -> Result<(), ToolError> {
     if let SubmitAnswer::Accepted { revision } = answer {
         println!("accepted as revision {revision}");
         return Ok(());
@@ -116,18 +116,18 @@
 }
 
 async fn submit(options: SubmitOptions) -> Result<(), ToolError> {
-    let operator = reader(options.control)?;
+    let operator = read_only_operator(options.control)?;
     let signed: SignedBundle = load(&options.file).context(LoadSnafu)?;
     let submission = options.submission.unwrap_or_else(|| signed.content_hash());
     let answer = operator
-        .submit_bundle(signed, options.expected, &submission, WITHIN)
+        .submit_bundle(signed, options.expected, &submission, LEADER_TIMEOUT)
         .await
         .context(OperatorSnafu)?;
-    accepted(&answer)
+    require_accepted(&answer)
 }
 
 async fn status(options: OperatorOptions) -> Result<(), ToolError> {
-    let status = reader(options.control)?
+    let status = read_only_operator(options.control)?
         .status()
         .await
         .context(OperatorSnafu)?;
@@ -143,7 +143,7 @@
 }
 
 async fn history(options: OperatorOptions) -> Result<(), ToolError> {
-    let revisions = reader(options.control)?
+    let revisions = read_only_operator(options.control)?
         .history()
         .await
         .context(OperatorSnafu)?;
@@ -166,14 +166,14 @@
 }
 
 async fn roll(options: RollOptions) -> Result<(), ToolError> {
-    let operator = operator(options.control, &options.key)?;
+    let operator = operator_with_key(options.control, &options.key)?;
     let action = OrderAction::Roll {
         revision: options.revision,
     };
     let submission = format!("roll-{}-{}", options.revision, options.expected);
     let answer = operator
-        .submit_order(action, options.expected, &submission, WITHIN)
+        .submit_order(action, options.expected, &submission, LEADER_TIMEOUT)
         .await
         .context(OperatorSnafu)?;
-    accepted(&answer)
+    require_accepted(&answer)
 }
--- a/crates/coursestand-cli/src/commands/control.rs
+++ b/crates/coursestand-cli/src/commands/control.rs
@@ -8,7 +8,7 @@
 use crate::arguments::{
     ControlCommand, ControlOptions, InitOptions, OperatorOptions, ReplaceOptions,
 };
-use crate::commands::bundle::{WITHIN, print_json, reader, usage};
+use crate::commands::bundle::{LEADER_TIMEOUT, print_json, read_only_operator, usage_error};
 use crate::commands::key;
 use crate::error::{OperatorSnafu, ToolError, UsageSnafu};
 
@@ -18,7 +18,7 @@
         Some(ControlCommand::Init(options)) => init(options).await,
         Some(ControlCommand::Replace(options)) => replace(options).await,
         Some(ControlCommand::Status(options)) => status(options).await,
-        None => usage("control needs a command: init, replace, status"),
+        None => usage_error("control needs a command: init, replace, status"),
     }
 }
 
@@ -33,8 +33,8 @@
             .operators
             .insert(key.operator, public_key_text(&key.key));
     }
-    let enough = policy.required > 0 && policy.operators.len() >= policy.required;
-    if !enough {
+    let is_satisfiable = policy.required > 0 && policy.operators.len() >= policy.required;
+    if !is_satisfiable {
         let reason = format!(
             "--required: found {}, allowed: 1 to the number of --key files, {}",
             policy.required,
@@ -44,8 +44,8 @@
     }
     let cluster = options.cluster.unwrap_or_else(rand::random);
     println!("forming control group {cluster}");
-    reader(options.control)?
-        .form_group(cluster, &policy, WITHIN)
+    read_only_operator(options.control)?
+        .form_group(cluster, &policy, LEADER_TIMEOUT)
         .await
         .context(OperatorSnafu)?;
     println!("the control group is formed");
@@ -53,26 +53,26 @@
 }
 
 async fn replace(options: ReplaceOptions) -> Result<(), ToolError> {
-    let operator = reader(options.control)?;
+    let operator = read_only_operator(options.control)?;
     let with = options.with.context(UsageSnafu {
         reason: "--with is needed",
     })?;
     let status = operator.status().await.context(OperatorSnafu)?;
     let cluster = status.replica["identity"]["cluster"].as_u64();
     let cluster = cluster.context(UsageSnafu {
-        reason: "the leader tells no identity",
+        reason: "the leader's status has no cluster identity",
     })?;
-    let blank = operator.status_of(with).await.context(OperatorSnafu)?;
+    let new_replica = operator.status_of(with).await.context(OperatorSnafu)?;
     let replacement = ReplicaAddress {
         replica: rand::random::<u64>() >> 1,
-        address: blank.listen,
+        address: new_replica.listen,
     };
     println!(
-        "replica {} takes the place of {}",
+        "replica {} replaces replica {}",
         replacement.replica, options.lost
     );
     operator
-        .replace(cluster, options.lost, replacement, with, WITHIN)
+        .replace(cluster, options.lost, replacement, with, LEADER_TIMEOUT)
         .await
         .context(OperatorSnafu)?;
     println!("done");
@@ -80,10 +80,10 @@
 }
 
 async fn status(options: OperatorOptions) -> Result<(), ToolError> {
-    let operator = reader(options.control.clone())?;
+    let operator = read_only_operator(options.control.clone())?;
     let mut replicas = Vec::new();
     for address in options.control {
-        let told = match operator.status_of(address).await {
+        let shown = match operator.status_of(address).await {
             Ok(status) => json!({
                 "operators": address,
                 "leads": status.leads,
@@ -92,7 +92,7 @@
             }),
             Err(error) => json!({ "operators": address, "error": error.to_string() }),
         };
-        replicas.push(told);
+        replicas.push(shown);
     }
     print_json(&Value::Array(replicas))
 }
--- a/crates/coursestand-cli/src/commands/demo.rs
+++ b/crates/coursestand-cli/src/commands/demo.rs
@@ -12,17 +12,17 @@
 
 use crate::arguments::DemoOptions;
 use crate::commands::bundle::print_json;
-use crate::error::{BrokenPromiseSnafu, DemoSnafu, ToolError, UsageSnafu};
+use crate::error::{DemoSnafu, GuaranteeViolatedSnafu, ToolError, UsageSnafu};
 
-/// Longest demo in seconds.
-const LONGEST_SECONDS: u64 = 600;
-/// Highest load in requests a second.
-const HIGHEST_RATE: f64 = 5_000.0;
-/// Time for each request with all attempts.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Limit on the duration of the load, in seconds.
+const MAX_SECONDS: u64 = 600;
+/// Limit on the load, in requests per second.
+const MAX_RATE: f64 = 5_000.0;
+/// Time limit of a request, including all attempts.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Makes a deployment by its name.
-pub fn deployment_of(name: &str) -> Result<fn(&mut AddressBook) -> Deployment, ToolError> {
+/// Returns the constructor of the deployment `name`.
+pub fn deployment_by_name(name: &str) -> Result<fn(&mut AddressBook) -> Deployment, ToolError> {
     match name {
         "hut" => Ok(hut),
         "coop" => Ok(coop),
@@ -33,28 +33,26 @@
     }
 }
 
-/// The load of a call, within bounds.
-pub fn plan_of(run: &str, seconds: u64, rate: f64, seed: u64) -> Result<LoadPlan, ToolError> {
-    let allowed = (1..=LONGEST_SECONDS).contains(&seconds) && rate > 0.0 && rate <= HIGHEST_RATE;
+/// Returns the load plan of a run, or an error if an argument is out of range.
+pub fn load_plan(run: &str, seconds: u64, rate: f64, seed: u64) -> Result<LoadPlan, ToolError> {
+    let is_allowed = (1..=MAX_SECONDS).contains(&seconds) && rate > 0.0 && rate <= MAX_RATE;
     ensure!(
-        allowed,
+        is_allowed,
         UsageSnafu {
-            reason: format!(
-                "--seconds: 1 to {LONGEST_SECONDS}; --rate: above 0, up to {HIGHEST_RATE}"
-            ),
+            reason: format!("--seconds: 1 to {MAX_SECONDS}; --rate: above 0, up to {MAX_RATE}"),
         }
     );
     Ok(LoadPlan {
         rate,
         duration: Duration::from_secs(seconds),
-        patience: PATIENCE,
+        patience: REQUEST_TIMEOUT,
         seed,
         run: run.to_owned(),
     })
 }
 
-/// Prints the figures; an error when a promise was broken or nothing answered.
-pub fn conclude(figures: &Figures, json: bool) -> Result<(), ToolError> {
+/// Prints the figures. Fails if a guarantee was violated or no request was answered.
+pub fn print_figures(figures: &Figures, json: bool) -> Result<(), ToolError> {
     if json {
         print_json(figures)?;
     } else {
@@ -62,22 +60,22 @@
     }
     ensure!(
         figures.verdict.is_good() && figures.answered > 0,
-        BrokenPromiseSnafu
+        GuaranteeViolatedSnafu
     );
     Ok(())
 }
 
-/// Runs a whole deployment in this process.
+/// Runs a complete deployment in this process.
 pub async fn run(options: DemoOptions) -> Result<(), ToolError> {
-    let make = deployment_of(&options.deployment)?;
-    let plan = plan_of("demo", options.seconds, options.rate, 1)?;
+    let make = deployment_by_name(&options.deployment)?;
+    let plan = load_plan("demo", options.seconds, options.rate, 1)?;
     let folder = std::env::temp_dir().join(format!("coursestand-demo-{}", std::process::id()));
     let figures = run_demo(make, &folder, &plan).await;
-    remove(&folder);
-    conclude(&figures.context(DemoSnafu)?, options.json)
+    remove_folder(&folder);
+    print_figures(&figures.context(DemoSnafu)?, options.json)
 }
 
-fn remove(folder: &Path) {
+fn remove_folder(folder: &Path) {
     if let Err(error) = std::fs::remove_dir_all(folder) {
         eprintln!("{}: {error}", folder.display());
     }
--- a/crates/coursestand-cli/src/commands/explain.rs
+++ b/crates/coursestand-cli/src/commands/explain.rs
@@ -1,5 +1,5 @@
-//! `coursestand explain`: the story of one request from the logs of any number of
-//! processes.
+//! `coursestand explain`: reconstructs the timeline of one request from the logs of any
+//! number of processes and names the cause of its outcome.
 
 use std::fmt::Write as _;
 use std::fs::File;
@@ -12,10 +12,11 @@
 use crate::arguments::ExplainOptions;
 use crate::error::{FileSnafu, ToolError};
 
-/// Beliefs that changed this long before a request are told with it.
-const BELIEF_SECONDS: f64 = 10.0;
-/// Fields that stand in the text of a line already.
-const TOLD_FIELDS: [&str; 6] = ["time", "process", "level", "part", "message", "request"];
+/// State changes are printed if they occurred within this time before the request, in
+/// seconds.
+const STATE_CHANGE_WINDOW_S: f64 = 10.0;
+/// Fields that are not repeated among the key-values of a printed line.
+const PRINTED_FIELDS: [&str; 6] = ["time", "process", "level", "part", "message", "request"];
 
 /// One line of a log.
 #[derive(Clone, Debug)]
@@ -26,7 +27,7 @@
 
 impl Line {
     fn parse(text: &str) -> Option<Line> {
-        // Whoever collects logs may put words of its own before each line.
+        // A log collector may prepend a prefix to each line.
         let start = text.find('{')?;
         let Value::Object(fields) = serde_json::from_str(&text[start..]).ok()? else {
             return None;
@@ -56,7 +57,7 @@
     fn describe(&self) -> String {
         let mut text = self.text("message").to_owned();
         for (name, value) in &self.fields {
-            if TOLD_FIELDS.contains(&name.as_str()) || value.is_null() {
+            if PRINTED_FIELDS.contains(&name.as_str()) || value.is_null() {
                 continue;
             }
             let value = match value {
@@ -73,15 +74,15 @@
     }
 }
 
-/// What one read of the logs kept.
+/// The relevant lines of the logs.
 #[derive(Default)]
-struct Kept {
-    story: Vec<Line>,
-    beliefs: Vec<Line>,
+struct RelevantLines {
+    request: Vec<Line>,
+    state_changes: Vec<Line>,
 }
 
-/// Lines that tell what a process believes.
-const BELIEFS: [&str; 8] = [
+/// Beginnings of the messages that report a state change.
+const STATE_CHANGES: [&str; 8] = [
     "a back end changed",
     "an entry daemon changed",
     "control process lost",
@@ -92,7 +93,7 @@
     "started",
 ];
 
-fn read(file: &Path, request: &str, kept: &mut Kept) -> Result<(), ToolError> {
+fn read(file: &Path, request: &str, lines: &mut RelevantLines) -> Result<(), ToolError> {
     let opened = File::open(file).context(FileSnafu { path: file })?;
     for line in BufReader::new(opened).lines() {
         let line = line.context(FileSnafu { path: file })?;
@@ -101,71 +102,77 @@
         };
         let message = line.text("message");
         if line.text("request") == request {
-            kept.story.push(line);
-        } else if BELIEFS.iter().any(|belief| message.starts_with(belief)) {
-            kept.beliefs.push(line);
+            lines.request.push(line);
+        } else if STATE_CHANGES
+            .iter()
+            .any(|prefix| message.starts_with(prefix))
+        {
+            lines.state_changes.push(line);
         }
     }
     Ok(())
 }
 
-/// Prints the story of a request.
+/// Prints the timeline of a request and the cause of its outcome.
 pub fn run(options: &ExplainOptions) -> Result<(), ToolError> {
     if options.files.is_empty() {
         return Err(ToolError::Usage {
             reason: "explain: give the request's identity and the log files".to_owned(),
         });
     }
-    let mut kept = Kept::default();
+    let mut lines = RelevantLines::default();
     for file in &options.files {
-        read(file, &options.request, &mut kept)?;
+        read(file, &options.request, &mut lines)?;
     }
-    kept.story
+    lines
+        .request
         .sort_by(|left, right| left.time.total_cmp(&right.time));
-    print!("{}", tell(&options.request, &kept));
+    print!("{}", render(&options.request, &lines));
     Ok(())
 }
 
-fn tell(request: &str, kept: &Kept) -> String {
+fn render(request: &str, lines: &RelevantLines) -> String {
     let mut text = format!("request {request}\n");
-    let (Some(first), Some(last)) = (kept.story.first(), kept.story.last()) else {
+    let (Some(first), Some(last)) = (lines.request.first(), lines.request.last()) else {
         text.push_str(
-            "cause: no process told of it. No daemon read it whole (refused or cut \
-             connections, a daemon that was killed or cut off), or its line was left out\n",
+            "cause: no log line names the request. No daemon received it completely (its \
+             connection was refused or cut, or the daemon was killed or unreachable), or its \
+             log lines were dropped\n",
         );
         return text;
     };
-    let begin = begin_of(first);
-    for line in &kept.story {
-        let since_begin = ((line.time - begin) * 1000.0).max(0.0);
+    let start = start_time(first);
+    for line in &lines.request {
+        let since_start = ((line.time - start) * 1000.0).max(0.0);
         let process = line.text("process");
         let _ = writeln!(
             text,
-            "  {since_begin:>6.0} ms  {process} [{}] {}",
+            "  {since_start:>6.0} ms  {process} [{}] {}",
             line.text("part"),
             line.describe()
         );
     }
-    let beliefs = beliefs_of(kept, begin, last.time);
-    if !beliefs.is_empty() {
-        text.push_str("beliefs that changed before or meanwhile:\n");
+    let changes = relevant_changes(lines, start, last.time);
+    if !changes.is_empty() {
+        text.push_str("state changes before or during the request:\n");
     }
-    for line in beliefs {
+    for line in changes {
         let _ = writeln!(
             text,
             "  {:>6.1} s   {} [{}] {}",
-            line.time - begin,
+            line.time - start,
             line.text("process"),
             line.text("part"),
             line.describe()
         );
     }
-    let _ = writeln!(text, "cause: {}", cause(&kept.story));
+    let _ = writeln!(text, "cause: {}", cause(&lines.request));
     text
 }
 
-/// When the request came: its end tells how long it took.
-fn begin_of(first: &Line) -> f64 {
+/// Returns the time in seconds at which the request was received. If its first line is its
+/// end, the time is calculated from the logged duration.
+fn start_time(first: &Line) -> f64 {
     if first.is_end() {
         first.time - first.number("took_ms") as f64 / 1000.0
     } else {
@@ -173,49 +180,57 @@
     }
 }
 
-/// The last change of each belief that bears on the request: on the back ends that
-/// it was offered to, and of the daemons that had it.
-fn beliefs_of(kept: &Kept, begin: f64, end: f64) -> Vec<&Line> {
-    let instances: Vec<&str> = kept
-        .story
+/// Returns the state changes that concern the request, without duplicates: those of the back
+/// ends to which it was sent, and those logged by the daemons that handled it.
+fn relevant_changes(lines: &RelevantLines, start: f64, end: f64) -> Vec<&Line> {
+    let instances: Vec<&str> = lines
+        .request
         .iter()
         .map(|line| line.text("instance"))
         .collect();
-    let processes: Vec<&str> = kept.story.iter().map(|line| line.text("process")).collect();
-    let bears_on = |line: &Line| {
+    let processes: Vec<&str> = lines
+        .request
+        .iter()
+        .map(|line| line.text("process"))
+        .collect();
+    let is_relevant = |line: &Line| {
         let instance = line.text("instance");
-        let of_back_end = !instance.is_empty() && instances.contains(&instance);
-        let of_daemon = instance.is_empty() && processes.contains(&line.text("process"));
-        let in_time = line.time >= begin - BELIEF_SECONDS && line.time <= end;
-        in_time && (of_back_end || of_daemon)
+        let is_of_back_end = !instance.is_empty() && instances.contains(&instance);
+        let is_of_daemon = instance.is_empty() && processes.contains(&line.text("process"));
+        let is_in_window = line.time >= start - STATE_CHANGE_WINDOW_S && line.time <= end;
+        is_in_window && (is_of_back_end || is_of_daemon)
     };
-    let mut told: Vec<&Line> = Vec::new();
-    let mut sorted: Vec<&Line> = kept.beliefs.iter().filter(|line| bears_on(line)).collect();
+    let mut changes: Vec<&Line> = Vec::new();
+    let mut sorted: Vec<&Line> = lines
+        .state_changes
+        .iter()
+        .filter(|line| is_relevant(line))
+        .collect();
     sorted.sort_by(|left, right| left.time.total_cmp(&right.time));
     for line in sorted {
-        // Several control processes tell the same change of a back end.
-        let is_known = told.iter().any(|known| {
-            known.text("instance") == line.text("instance")
+        // Several control processes log the same change of a back end.
+        let is_duplicate = changes.iter().any(|earlier| {
+            earlier.text("instance") == line.text("instance")
                 && !line.text("instance").is_empty()
-                && known.text("phase") == line.text("phase")
-                && known.number("sequence") == line.number("sequence")
+                && earlier.text("phase") == line.text("phase")
+                && earlier.number("sequence") == line.number("sequence")
         });
-        if !is_known {
-            told.push(line);
+        if !is_duplicate {
+            changes.push(line);
         }
     }
-    told
+    changes
 }
 
-/// The back ends for which the request got no token.
-fn denials(story: &[Line]) -> String {
-    let denied = story
+/// Lists the back ends for which the request was denied a rate-limit token.
+fn denials(lines: &[Line]) -> String {
+    let denied = lines
         .iter()
         .filter(|line| line.text("message") == "no token for a rate-limited back end");
-    let told: Vec<String> = denied
+    let denials: Vec<String> = denied
         .map(|line| {
             let limit = line.fields.get("limit_per_second").and_then(Value::as_f64);
-            let limit = limit.map_or_else(String::new, |limit| format!(", {limit} a second"));
+            let limit = limit.map_or_else(String::new, |limit| format!(", {limit} per second"));
             format!(
                 "{} ({}{limit})",
                 line.text("instance"),
@@ -223,79 +238,88 @@
             )
         })
         .collect();
-    if told.is_empty() {
+    if denials.is_empty() {
         return String::new();
     }
-    format!(": {}", told.join(", "))
+    format!(": {}", denials.join(", "))
 }
 
-/// The cause in one sentence.
-fn cause(story: &[Line]) -> String {
-    let failures: Vec<&Line> = story
+/// Returns the cause of the outcome as one sentence.
+fn cause(lines: &[Line]) -> String {
+    let failures: Vec<&Line> = lines
         .iter()
         .filter(|line| line.text("message") == "an attempt failed")
         .collect();
-    let Some(end) = story.iter().rev().find(|line| line.is_end()) else {
-        return "the daemon that had it did not tell its end: it was killed or lost power with \
-                the request, or the line was left out"
+    let Some(end) = lines.iter().rev().find(|line| line.is_end()) else {
+        return "the daemon that handled it did not log its end: the daemon was killed or lost \
+                power, or the log line was dropped"
             .to_owned();
     };
-    let tried = failures
+    let failed_attempts = failures
         .iter()
         .map(|line| format!("{} ({})", line.text("instance"), line.text("outcome")))
         .collect::<Vec<_>>()
         .join(", ");
-    let at = if tried.is_empty() {
+    let at = if failed_attempts.is_empty() {
         String::new()
     } else {
-        format!("; failed attempts: {tried}")
+        format!("; failed attempts: {failed_attempts}")
     };
-    let limit = end.number("limit_ms");
-    let took = end.number("took_ms");
+    let limit_ms = end.number("limit_ms");
+    let took_ms = end.number("took_ms");
     let sentence = match end.text("outcome") {
         "served" if end.number("status") >= 400 => format!(
-            "the back end {} itself answered {}",
+            "the back end {} answered with status {}",
             end.text("instance"),
             end.number("status")
         ),
         "served" => format!(
-            "none: it was served by {} in {took} ms",
+            "none: it was served by {} in {took_ms} ms",
             end.text("instance")
         ),
-        "busy" => "all back ends that know its object had more than they can work off; it was \
-                   refused at once and has not run"
-            .to_owned(),
-        "backing-off" => "all back ends of its service had asked for a back-off; it was refused \
+        "busy" => {
+            "all candidate back ends had more queued work than they can complete in time; it \
+             was refused at once and has not run"
+                .to_owned()
+        }
+        "backing-off" => "all back ends of its service had requested a back-off; it was refused \
                           at once and has not run"
             .to_owned(),
         "rate-limited" => format!(
-            "all back ends of its service were at the rate limit that they named{}; it was \
+            "all back ends of its service were at the rate limit that they announced{}; it was \
              refused at once and has not run",
-            denials(story)
+            denials(lines)
         ),
-        "suspected" => "back ends ended under such requests, and one is run elsewhere to see; it \
-                        has not run"
+        "suspected" => "such requests are suspected to crash back ends, and a trial of one runs \
+                        elsewhere; it has not run"
             .to_owned(),
-        "convicted" => "too many back ends ended under such requests; it has not run".to_owned(),
+        "convicted" => {
+            "such requests crashed too many back ends and are quarantined; it has not run"
+                .to_owned()
+        }
         "shed" => {
-            "back ends refused it unrun, and its attempts or the retry budget were spent".to_owned()
+            "back ends refused it without running it, and its attempts or the retry budget were \
+             exhausted"
+                .to_owned()
         }
         "unreachable" => "no connection to its back ends could be made; it has not run".to_owned(),
-        "no-backend" => "its service had no back end that may be used".to_owned(),
-        "no-route" => "no route of the catalog takes it".to_owned(),
-        "no-catalog" => "the daemon had just started and held no configuration".to_owned(),
+        "no-backend" => "its service had no usable back end".to_owned(),
+        "no-route" => "no route of the catalog matches it".to_owned(),
+        "no-catalog" => "the daemon had just started and had no catalog".to_owned(),
         "answer-lost" => {
-            "the back end's answer was lost, cut or not its own; it may have run".to_owned()
+            "the back end's answer was lost, truncated or belonged to another request; it may \
+             have run"
+                .to_owned()
         }
         "timed-out" => format!(
-            "the back end {} gave no answer within the {limit} ms that it had; it may have run",
+            "the back end {} gave no answer within the {limit_ms} ms time limit; it may have run",
             end.text("instance")
         ),
-        "caller-left" => format!("its caller left after {took} ms"),
-        "stopping" => "the daemon was about to end for a planned stop".to_owned(),
+        "caller-left" => format!("its caller disconnected after {took_ms} ms"),
+        "stopping" => "the daemon was in a planned stop".to_owned(),
         "deadline-passed" => "its deadline had passed before it was sent".to_owned(),
         "body-too-long" => "its body is longer than the limits allow".to_owned(),
-        "body-broken" => "its caller broke off while sending the body".to_owned(),
+        "body-broken" => "its caller closed the connection while sending the body".to_owned(),
         other => format!("outcome `{other}`"),
     };
     format!("{sentence}{at}")
--- a/crates/coursestand-cli/src/commands/inspect.rs
+++ b/crates/coursestand-cli/src/commands/inspect.rs
@@ -17,7 +17,7 @@
     print_json(&get(format!("http://{}/state", options.address)).await?)
 }
 
-/// Asks an entry daemon which daemons to use.
+/// Asks an entry daemon which entry daemons a client should use.
 pub async fn lookup(options: LookupOptions) -> Result<(), ToolError> {
     let url = format!(
         "http://{}/v1/lookup?service={}&client={}",
--- a/crates/coursestand-cli/src/commands/key.rs
+++ b/crates/coursestand-cli/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `coursestand key`, and reading key files.
+//! `coursestand key`, and the reader of key files.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -13,11 +13,12 @@
 use crate::arguments::KeyOptions;
 use crate::error::{FileSnafu, JsonSnafu, KeySnafu, ToolError};
 
-/// Only the owner may read or write a key file.
+/// Mode of a key file: readable and writable only by its owner.
 const KEY_MODE: u32 = 0o600;
-const OTHERS: u32 = 0o077;
+/// Mode bits of the group and of others.
+const NON_OWNER_MASK: u32 = 0o077;
 
-/// An operator's key as it stands in its file.
+/// Contents of a key file.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFile {
@@ -27,15 +28,15 @@
     pub secret: String,
 }
 
-/// An operator with the key.
+/// An operator's name and signing key.
 pub struct OperatorKey {
     /// Name of the operator.
     pub operator: String,
-    /// The key.
+    /// The signing key.
     pub key: SigningKey,
 }
 
-/// Makes a key.
+/// Generates a key, writes it to a file and prints its public key.
 pub fn run(options: &KeyOptions) -> Result<(), ToolError> {
     let secret: [u8; 32] = rand::random();
     let key = SigningKey::from_bytes(&secret);
@@ -56,26 +57,26 @@
     Ok(())
 }
 
-/// Reads a key file that only its owner can read.
+/// Reads a key file. Rejects a file that others than its owner can access.
 pub fn read(path: &Path) -> Result<OperatorKey, ToolError> {
     let mode = std::fs::metadata(path)
         .context(FileSnafu { path })?
         .permissions()
         .mode();
     ensure!(
-        mode & OTHERS == 0,
+        mode & NON_OWNER_MASK == 0,
         KeySnafu {
             path,
             reason: format!("found mode {:o}, allowed: {KEY_MODE:o}", mode & 0o777),
         }
     );
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-    let refused = |reason: String| KeySnafu { path, reason }.build();
+    let invalid = |reason: String| KeySnafu { path, reason }.build();
     let content: KeyFile =
-        serde_json::from_str(&text).map_err(|error| refused(error.to_string()))?;
+        serde_json::from_str(&text).map_err(|error| invalid(error.to_string()))?;
     let mut secret = [0; 32];
     hex::decode_to_slice(&content.secret, &mut secret)
-        .map_err(|error| refused(format!("field `secret`: {error}")))?;
+        .map_err(|error| invalid(format!("field `secret`: {error}")))?;
     Ok(OperatorKey {
         operator: content.operator,
         key: SigningKey::from_bytes(&secret),
--- a/crates/coursestand-cli/src/commands/lab.rs
+++ b/crates/coursestand-cli/src/commands/lab.rs
@@ -17,8 +17,8 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::arguments::{LabCommand, LabOptions, LoadOptions, PrepareOptions, WorldOptions};
-use crate::commands::bundle::usage;
-use crate::commands::demo::{conclude, deployment_of, plan_of};
+use crate::commands::bundle::usage_error;
+use crate::commands::demo::{deployment_by_name, load_plan, print_figures};
 use crate::commands::scale;
 use crate::error::{DemoSnafu, FileSnafu, HttpSnafu, JsonSnafu, LoadSnafu, ToolError, UsageSnafu};
 
@@ -27,32 +27,32 @@
     match options.command {
         Some(LabCommand::Prepare(options)) => prepare(&options),
         Some(LabCommand::World(options)) => world(&options).await,
-        Some(LabCommand::Load(options)) => make_load(options).await,
+        Some(LabCommand::Load(options)) => generate_load(options).await,
         Some(LabCommand::Scale(options)) => scale::run(options).await,
-        None => usage("lab needs a command: prepare, world, load, scale"),
+        None => usage_error("lab needs a command: prepare, world, load, scale"),
     }
 }
 
 fn prepare(options: &PrepareOptions) -> Result<(), ToolError> {
-    let make = deployment_of(&options.deployment)?;
+    let construct = deployment_by_name(&options.deployment)?;
     let mut addresses = AddressBook::fixed(options.port);
-    let deployment = make(&mut addresses);
+    let deployment = construct(&mut addresses);
     let folder = &options.folder;
     std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
     for settings in deployment.daemon_settings(&mut addresses, &options.data) {
-        write(&folder.join(format!("{}.json", settings.name)), &settings)?;
+        write_json(&folder.join(format!("{}.json", settings.name)), &settings)?;
     }
-    write(&folder.join("bundle.json"), &deployment.bundle)?;
-    write(&folder.join("deployment.json"), &deployment)
+    write_json(&folder.join("bundle.json"), &deployment.bundle)?;
+    write_json(&folder.join("deployment.json"), &deployment)
 }
 
-fn write<T: Serialize>(path: &Path, value: &T) -> Result<(), ToolError> {
+fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), ToolError> {
     let mut text = serde_json::to_string_pretty(value).context(JsonSnafu)?;
     text.push('\n');
     std::fs::write(path, text).context(FileSnafu { path })
 }
 
-/// Runs until it is told to end.
+/// Runs the emulated back ends until SIGTERM or SIGINT.
 async fn world(options: &WorldOptions) -> Result<(), ToolError> {
     let deployment: Deployment = load(&options.deployment).context(LoadSnafu)?;
     let world = World::start(deployment).await.context(DemoSnafu)?;
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-async fn make_load(options: LoadOptions) -> Result<(), ToolError> {
+async fn generate_load(options: LoadOptions) -> Result<(), ToolError> {
     let deployment: Deployment = load(&options.deployment).context(LoadSnafu)?;
     ensure!(
         !options.entry.is_empty(),
@@ -80,7 +80,7 @@
         }
     );
     let run = format!("load-{}", rand::random::<u32>());
-    let plan = plan_of(&run, options.seconds, options.rate, options.seed)?;
+    let plan = load_plan(&run, options.seconds, options.rate, options.seed)?;
     let entry_points = options.entry.iter().map(ToString::to_string).collect();
     let latency = Latencies::new(deployment.bundle.clone()).to_client();
     let caller = Arc::new(Caller::new(entry_points, latency));
@@ -88,9 +88,12 @@
     let url = format!("http://{}/lab/records", deployment.platform);
     let answer = reqwest::get(url).await.context(HttpSnafu)?;
     let records: Vec<Record> = answer.json().await.context(HttpSnafu)?;
-    let own: Vec<Record> = records
+    let run_records: Vec<Record> = records
         .into_iter()
         .filter(|record| record.token.starts_with(&run))
         .collect();
-    conclude(&figures(&deployment.bundle, &finished, &own), options.json)
+    print_figures(
+        &figures(&deployment.bundle, &finished, &run_records),
+        options.json,
+    )
 }
--- a/crates/coursestand-cli/src/commands/mod.rs
+++ b/crates/coursestand-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each group of commands.
+//! The commands, one module per group.
 
 pub mod bundle;
 pub mod control;
--- a/crates/coursestand-cli/src/commands/scale.rs
+++ b/crates/coursestand-cli/src/commands/scale.rs
@@ -7,7 +7,7 @@
 use crate::commands::bundle::print_json;
 use crate::error::{DemoSnafu, ToolError, UsageSnafu};
 
-/// Measures the control group with hollow daemons.
+/// Measures the control group with simulated daemons.
 pub async fn run(options: ScaleOptions) -> Result<(), ToolError> {
     let steps: Option<Vec<usize>> = options
         .steps
--- a/crates/coursestand-cli/src/error.rs
+++ b/crates/coursestand-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the tool and their exit codes.
+//! Errors of the commands and their exit codes.
 
 use std::path::PathBuf;
 
@@ -7,26 +7,26 @@
 use coursestand_model::LoadError;
 use snafu::Snafu;
 
-/// Exit code: the call's words are off.
+/// Exit code: invalid arguments.
 pub const USAGE: u8 = 2;
-/// Exit code: a file is refused.
-pub const REFUSED_FILE: u8 = 3;
-/// Exit code: the system gave no answer, or another one than asked for.
+/// Exit code: a file is invalid or can't be read or written.
+pub const INVALID_FILE: u8 = 3;
+/// Exit code: a process did not answer, or the answer was negative.
 pub const NO_ANSWER: u8 = 4;
-/// Exit code: a promise was broken in a run.
-pub const BROKEN_PROMISE: u8 = 5;
+/// Exit code: a run violated a guarantee, or no request of it was answered.
+pub const GUARANTEE_VIOLATED: u8 = 5;
 
 /// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ToolError {
-    /// The call's words are off.
+    /// The arguments are invalid.
     #[snafu(display("{reason}"))]
     Usage {
         /// What is wrong.
         reason: String,
     },
-    /// A JSON file is refused.
+    /// A JSON file is invalid.
     #[snafu(display("{source}"))]
     Load {
         /// Cause.
@@ -40,7 +40,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A key file is refused.
+    /// A key file is invalid or readable by others.
     #[snafu(display("{}: {reason}", path.display()))]
     Key {
         /// The file.
@@ -48,16 +48,16 @@
         /// What is wrong.
         reason: String,
     },
-    /// The control group did not do what was asked.
+    /// A call to the control group failed.
     #[snafu(display("{source}"))]
     Operator {
         /// Cause.
         source: OperatorError,
     },
-    /// A change was not accepted.
+    /// The control group did not accept a change.
     #[snafu(display("not accepted: {answer}"))]
     NotAccepted {
-        /// The answer.
+        /// The answer as JSON.
         answer: String,
     },
     /// A deployment could not run.
@@ -66,30 +66,30 @@
         /// Cause.
         source: DemoError,
     },
-    /// A process does not answer.
+    /// An HTTP request to a process failed.
     #[snafu(display("{source}"))]
     Http {
         /// Cause.
         source: reqwest::Error,
     },
-    /// A value can't be written as JSON.
+    /// A value can't be serialized as JSON.
     #[snafu(display("{source}"))]
     Json {
         /// Cause.
         source: serde_json::Error,
     },
-    /// A promise was broken in a run.
-    #[snafu(display("a promise was broken or a request was left without a good answer"))]
-    BrokenPromise,
+    /// A run violated a guarantee, or no request of it was answered.
+    #[snafu(display("the run violated a guarantee, or no request was answered"))]
+    GuaranteeViolated,
 }
 
 impl ToolError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             ToolError::Usage { .. } => USAGE,
-            ToolError::Load { .. } | ToolError::File { .. } | ToolError::Key { .. } => REFUSED_FILE,
-            ToolError::BrokenPromise => BROKEN_PROMISE,
+            ToolError::Load { .. } | ToolError::File { .. } | ToolError::Key { .. } => INVALID_FILE,
+            ToolError::GuaranteeViolated => GUARANTEE_VIOLATED,
             _ => NO_ANSWER,
         }
     }
--- a/crates/coursestand-cli/src/main.rs
+++ b/crates/coursestand-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `coursestand`: the tool of operators and of the testbed.
+//! `coursestand`: the command-line tool for operators and for the testbed.
 
 mod arguments;
 mod commands;
--- a/crates/coursestand-cli/tests/explain.rs
+++ b/crates/coursestand-cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `coursestand explain` names the cause of a failed request from logs alone.
+//! `coursestand explain` finds the cause of a failed request from logs alone.
 #![allow(missing_docs)]
 
 use std::process::Command;
@@ -38,21 +38,22 @@
 }
 
 #[gtest]
-fn a_lost_answer_is_told_with_the_beliefs_about_its_back_end() {
-    let story = explain("r-lost");
+fn a_lost_answer_is_explained_with_the_state_changes_of_its_back_end() {
+    let output = explain("r-lost");
     expect_that!(
-        story,
+        output,
         contains_substring("cause: the back end's answer was lost")
     );
-    expect_that!(story, contains_substring("i-1 (lost)"));
-    expect_that!(story, contains_substring("left_ms=700"));
-    // One change, told by two processes; the old one is too old.
-    expect_that!(story.matches("Draining").count(), eq(1));
-    expect_that!(story, not(contains_substring("phase=Ready")));
+    expect_that!(output, contains_substring("i-1 (lost)"));
+    expect_that!(output, contains_substring("left_ms=700"));
+    // Two processes log the same change, which is printed once; the earlier change is outside
+    // of the time window.
+    expect_that!(output.matches("Draining").count(), eq(1));
+    expect_that!(output, not(contains_substring("phase=Ready")));
 }
 
 #[gtest]
-fn a_refusal_a_late_answer_and_a_dead_daemon_have_their_causes() {
+fn refused_timed_out_unfinished_and_unknown_requests_have_their_causes() {
     expect_that!(
         explain("r-busy"),
         contains_substring("refused at once and has not run")
@@ -61,18 +62,15 @@
         explain("r-late"),
         contains_substring("no answer within the 800 ms")
     );
-    expect_that!(
-        explain("r-died"),
-        contains_substring("did not tell its end")
-    );
+    expect_that!(explain("r-died"), contains_substring("did not log its end"));
     expect_that!(
         explain("r-unknown"),
-        contains_substring("no process told of it")
+        contains_substring("no log line names the request")
     );
 }
 
 #[gtest]
-fn a_log_that_is_not_there_is_told_by_name() {
+fn the_error_names_a_missing_log_file() {
     let output = Command::new(env!("CARGO_BIN_EXE_coursestand"))
         .args(["explain", "r", "/not/there.log"])
         .output()
@@ -82,10 +80,10 @@
     expect_that!(text, contains_substring("/not/there.log"));
 }
 
-/// Guards against a refusal for a rate limit of which nobody can tell whose limit it was.
+/// Guards against a rate-limit refusal whose explanation doesn't identify the back end.
 #[gtest]
-fn a_refusal_for_a_rate_limit_names_the_back_end_and_its_limit() {
-    let story = explain("r-limited");
-    expect_that!(story, contains_substring("i-3 (denied, 5.1 a second)"));
-    expect_that!(story, contains_substring("has not run"));
+fn a_rate_limit_refusal_names_the_back_end_and_its_limit() {
+    let output = explain("r-limited");
+    expect_that!(output, contains_substring("i-3 (denied, 5.1 per second)"));
+    expect_that!(output, contains_substring("has not run"));
 }
--- a/crates/coursestand-cli/tests/tool.rs
+++ b/crates/coursestand-cli/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool as operators call it: clear errors, exit codes, committed schemas
+//! Runs the program as operators do: error messages, exit codes, and the committed schemas
 //! and examples.
 #![allow(missing_docs)]
 
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 
 const USAGE: i32 = 2;
-const REFUSED_FILE: i32 = 3;
+const INVALID_FILE: i32 = 3;
 const NO_ANSWER: i32 = 4;
 
 fn tool(arguments: &[&str]) -> Output {
@@ -19,7 +19,7 @@
         .expect("the tool runs")
 }
 
-fn repository() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -32,12 +32,12 @@
 }
 
 #[gtest]
-fn a_bad_bundle_is_refused_with_file_field_found_and_allowed() {
+fn the_error_of_an_invalid_bundle_names_file_field_and_values() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = path(&folder, "bundle.json");
-    let good =
-        std::fs::read_to_string(repository().join("examples/hut/bundle.json")).expect("read");
-    for (from, to, signs) in [
+    let valid =
+        std::fs::read_to_string(repository_root().join("examples/hut/bundle.json")).expect("read");
+    for (from, to, expected) in [
         (
             "\"share_bp\": 2000",
             "\"share_bp\": 20000",
@@ -55,22 +55,22 @@
             ["clients[0].zone", "found nowhere"],
         ),
     ] {
-        std::fs::write(&file, good.replacen(from, to, 1)).expect("written");
+        std::fs::write(&file, valid.replacen(from, to, 1)).expect("written");
         let output = tool(&["bundle", "lint", &file]);
-        expect_that!(output.status.code(), eq(Some(REFUSED_FILE)));
+        expect_that!(output.status.code(), eq(Some(INVALID_FILE)));
         expect_that!(stderr(&output), contains_substring(file.as_str()));
-        for sign in signs {
-            expect_that!(stderr(&output), contains_substring(sign));
+        for text in expected {
+            expect_that!(stderr(&output), contains_substring(text));
         }
     }
     let missing = tool(&["bundle", "lint", "/not/there.json"]);
-    expect_that!(missing.status.code(), eq(Some(REFUSED_FILE)));
+    expect_that!(missing.status.code(), eq(Some(INVALID_FILE)));
     expect_that!(stderr(&missing), contains_substring("/not/there.json"));
 }
 
 #[gtest]
-fn a_wrong_call_says_what_is_allowed() {
-    for (arguments, sign) in [
+fn the_error_of_invalid_arguments_names_the_allowed_values() {
+    for (arguments, expected) in [
         (
             vec!["demo", "--deployment", "moon"],
             "allowed are hut and coop",
@@ -83,7 +83,7 @@
     ] {
         let output = tool(&arguments);
         expect_that!(output.status.code(), eq(Some(USAGE)), "{arguments:?}");
-        expect_that!(stderr(&output), contains_substring(sign));
+        expect_that!(stderr(&output), contains_substring(expected));
     }
 }
 
@@ -100,20 +100,20 @@
         .permissions()
         .mode();
     expect_that!(mode & 0o777, eq(0o600));
-    let again = tool(&["key", &file, "--operator", "ada"]);
-    expect_that!(again.status.code(), eq(Some(REFUSED_FILE)));
+    let overwriting = tool(&["key", &file, "--operator", "ada"]);
+    expect_that!(overwriting.status.code(), eq(Some(INVALID_FILE)));
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o644)).expect("set");
-    let bundle = repository()
+    let bundle = repository_root()
         .join("examples/hut/bundle.json")
         .display()
         .to_string();
     let output = path(&folder, "signed.json");
-    let refused = tool(&[
+    let rejected = tool(&[
         "bundle", "sign", &bundle, "--key", &file, "--output", &output,
     ]);
-    expect_that!(refused.status.code(), eq(Some(REFUSED_FILE)));
+    expect_that!(rejected.status.code(), eq(Some(INVALID_FILE)));
     expect_that!(
-        stderr(&refused),
+        stderr(&rejected),
         contains_substring("found mode 644, allowed: 600")
     );
 }
@@ -122,7 +122,7 @@
 fn sign_offs_are_added_to_a_signed_bundle() {
     let folder = tempfile::tempdir().expect("a folder");
     let signed = path(&folder, "signed.json");
-    let mut source = repository()
+    let mut source = repository_root()
         .join("examples/coop/bundle.json")
         .display()
         .to_string();
@@ -143,17 +143,17 @@
 }
 
 #[gtest]
-fn a_control_group_that_does_not_answer_is_told() {
+fn an_unreachable_control_group_is_reported() {
     let output = tool(&["bundle", "status", "--control", "127.0.0.1:9"]);
     expect_that!(output.status.code(), eq(Some(NO_ANSWER)));
     expect_that!(stderr(&output), contains_substring("no leader"));
 }
 
 #[gtest]
-fn committed_schemas_and_examples_are_those_of_this_version() {
+fn committed_schemas_and_examples_are_up_to_date() {
     for kind in ["settings", "bundle", "signed-bundle"] {
         let printed = tool(&["schema", kind]).stdout;
-        let committed = std::fs::read(repository().join(format!("schemas/{kind}.json")));
+        let committed = std::fs::read(repository_root().join(format!("schemas/{kind}.json")));
         expect_that!(
             committed.expect("committed") == printed,
             eq(true),
@@ -162,22 +162,30 @@
     }
     for (name, port) in [("hut", "21000"), ("coop", "22000")] {
         let folder = tempfile::tempdir().expect("a folder");
-        let made = folder.path().display().to_string();
+        let folder_path = folder.path().display().to_string();
         let data = format!("fleet-run/{name}/data");
         let prepared = tool(&[
-            "lab", "prepare", name, "--folder", &made, "--data", &data, "--port", port,
+            "lab",
+            "prepare",
+            name,
+            "--folder",
+            &folder_path,
+            "--data",
+            &data,
+            "--port",
+            port,
         ]);
         expect_that!(prepared.status.success(), eq(true), "{}", stderr(&prepared));
         for entry in std::fs::read_dir(folder.path()).expect("read") {
             let entry = entry.expect("an entry");
-            let committed = repository()
+            let committed = repository_root()
                 .join("examples")
                 .join(name)
                 .join(entry.file_name());
             let committed = std::fs::read(committed).expect("committed");
-            let fresh = std::fs::read(entry.path()).expect("read");
+            let generated = std::fs::read(entry.path()).expect("read");
             expect_that!(
-                committed == fresh,
+                committed == generated,
                 eq(true),
                 "run `make examples`: {:?}",
                 entry.file_name()
