--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Commands of the project. `make run` and `make test` install what is missing.
+# `make run` and `make test` install missing build tools first.
 
 .PHONY: run test known-red bench soak fault-soak setup ci examples
 
@@ -8,8 +8,8 @@
 run: setup
 	cargo run --release --bin coursestand -- demo
 
-# Tests listed in KNOWN-RED.txt fail for a fault that is not mended yet: they are
-# printed and passed over. `make known-red` runs just these.
+# Tests listed in KNOWN-RED.txt fail because of known, unfixed faults. `make test` prints
+# and skips them; `make known-red` runs only these.
 KNOWN_RED := $(shell cut -d: -f1 KNOWN-RED.txt 2>/dev/null)
 
 test: setup
@@ -25,15 +25,15 @@
 soak: setup
 	COURSESTAND_RUNS=200000 cargo test --release -p coursestand-consensus --test simulation group_equals
 
-# Real processes under faults from outside, with seeds of one's own:
+# Runs real processes under injected faults. Seeds and duration can be set:
 # make fault-soak SEEDS=100..150 SECONDS=8
 SEEDS ?= 1..20
 SECONDS ?= 8
 fault-soak: setup
 	COURSESTAND_SOAK_SEEDS=$(SEEDS) COURSESTAND_SOAK_SECONDS=$(SECONDS) cargo test -p coursestand-daemon --test soak -- --nocapture
 
-# Days for every kind of disruption, and sites that nobody has seen, from a site file.
-# scripts/grid-site SITE OUT [--final]; scripts/own-sites SITE FOLDER
+# From a site file, scripts/grid-site SITE OUT [--final] generates a day for each kind of
+# disruption, and scripts/own-sites SITE FOLDER generates varied sites.
 
 ci:
 	bash .ci/run
