--- a/crates/coursestand-daemon/src/fleet/control_api.rs
+++ b/crates/coursestand-daemon/src/fleet/control_api.rs
@@ -202,7 +202,7 @@
 
     fn heartbeat_answer(&self, result: Result<(), NotReplicated>) -> Response {
         match result {
-            Ok(()) => respond(StatusCode::OK, self.dialect.heartbeat_taken(None)),
+            Ok(()) => respond(StatusCode::OK, self.dialect.heartbeat_accepted(None)),
             Err(NotReplicated) => {
                 unavailable("no majority of the control processes acknowledged it")
             }
