--- a/crates/coursestand-consensus/src/message.rs
+++ b/crates/coursestand-consensus/src/message.rs
@@ -84,8 +84,8 @@
 /// Answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAnswer {
-    /// Last index known to match the leader's log; on a mismatch, a hint at the
-    /// follower's last index.
+    /// Last index known to match the leader's log; on a mismatch, the index that
+    /// the leader should probe next.
     pub index: LogIndex,
     /// Whether the follower's log contains the entry before those sent.
     pub matched: bool,
--- a/crates/coursestand-consensus/src/progress.rs
+++ b/crates/coursestand-consensus/src/progress.rs
@@ -38,7 +38,8 @@
     pub state: SendState,
     /// Leader's clock when it sent the latest message that was answered.
     pub acked_sent_at: Millis,
-    /// Leader's clock when the latest answer arrived; 0 before the first.
+    /// Leader's clock when the latest answer arrived; before the first, when the leader
+    /// added the follower (0 in [`Progress::new`]).
     pub last_contact_at: Millis,
     /// `matched` at the last heartbeat; no progress since then indicates a lost message.
     pub matched_at_heartbeat: LogIndex,
--- a/crates/coursestand-consensus/src/replica/mod.rs
+++ b/crates/coursestand-consensus/src/replica/mod.rs
@@ -91,7 +91,7 @@
 /// The leader's own disk is behind the commit index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DiskLag {
-    /// When the disk was first seen behind at this index.
+    /// When the leader first observed the lag at this value of `persisted`.
     since: Millis,
     persisted: LogIndex,
 }
--- a/crates/coursestand-consensus/src/wal.rs
+++ b/crates/coursestand-consensus/src/wal.rs
@@ -244,7 +244,7 @@
     Ok(files)
 }
 
-/// Removes files whose writing was interrupted by the end of the process.
+/// Removes temporary files left by a process that ended before it renamed them.
 fn remove_temporary_files(folder: &Path) -> Result<(), StorageError> {
     for (_, path) in numbered_files(folder, TEMPORARY_SUFFIX)? {
         std::fs::remove_file(&path).context(FileSnafu {
@@ -382,9 +382,11 @@
 enum FrameRead<'a> {
     /// A complete frame with matching checksums.
     Complete { payload: &'a [u8], end: usize },
-    /// The file ends before the frame does.
+    /// The frame is the last one of the file, and its write was interrupted: it is
+    /// incomplete, all zeros, or its payload does not match the checksum.
     Truncated,
-    /// A checksum does not match, and the frame is not the last one of the file.
+    /// The header does not match its checksum, or the payload of a frame that is not the
+    /// last one of the file does not match.
     Corrupt(&'static str),
 }
 
--- a/crates/coursestand-consensus/tests/elections.rs
+++ b/crates/coursestand-consensus/tests/elections.rs
@@ -139,7 +139,8 @@
     expect_that!(times.last(), some(le(&(election_timeout() * 3))));
 }
 
-/// After a restart of all replicas no leader is left whose election timeout must expire.
+/// After a restart a replica waits only until a leader lease from before it has expired,
+/// which takes less than an election timeout.
 #[gtest]
 fn a_group_that_restarts_together_does_not_wait_for_an_election_timeout() {
     for running in [3, 5] {
@@ -150,7 +151,7 @@
 }
 
 /// A replica whose requests arrive but which receives no answers must not block the
-/// others, whatever its precedence among the candidates.
+/// others, regardless of its precedence among the candidates.
 #[gtest]
 fn a_candidate_that_receives_no_answers_does_not_block_the_others() {
     for unreachable in [1, 2, 3, 4] {
--- a/crates/coursestand-consensus/tests/resending.rs
+++ b/crates/coursestand-consensus/tests/resending.rs
@@ -56,7 +56,7 @@
     Message { term: TERM, body }
 }
 
-fn refusal(sent_at: u64) -> Message {
+fn rejection(sent_at: u64) -> Message {
     message(Body::AppendAnswer(AppendAnswer {
         index: 0,
         matched: false,
@@ -90,7 +90,7 @@
 }
 
 /// Advances the clock and returns the bytes of entries sent to the follower.
-fn pass(replica: &mut Replica, from: u64, to: u64) -> usize {
+fn advance(replica: &mut Replica, from: u64, to: u64) -> usize {
     (from..to)
         .step_by(TICK_MS as usize)
         .map(|now| {
@@ -106,9 +106,9 @@
 fn entries_in_flight_are_not_sent_again_with_each_heartbeat() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, rejection(ELECTED_AT_MS));
     let sent = bytes_to_follower(&mut replica)
-        + pass(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 3_000);
+        + advance(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 3_000);
     let all = ENTRY_BYTES * ENTRIES as usize;
     expect_that!(sent, ge(all));
     expect_that!(sent, le(6 * all));
@@ -118,11 +118,11 @@
 fn delayed_rejections_do_not_cause_a_resend() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    pass(&mut replica, ELECTED_AT_MS + 10, ELECTED_AT_MS + 400);
+    advance(&mut replica, ELECTED_AT_MS + 10, ELECTED_AT_MS + 400);
     // Answers to four heartbeats that were all sent before the entries.
     let heartbeats = [0, 100, 200, 300].map(|after| ELECTED_AT_MS + after);
     for sent_at in heartbeats {
-        replica.step(ELECTED_AT_MS + 410, FOLLOWER, refusal(sent_at));
+        replica.step(ELECTED_AT_MS + 410, FOLLOWER, rejection(sent_at));
     }
     let sent = bytes_to_follower(&mut replica);
     expect_that!(sent, eq(ENTRY_BYTES * ENTRIES as usize));
@@ -133,10 +133,14 @@
 fn lost_entries_are_sent_again_at_once() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, rejection(ELECTED_AT_MS));
     let all = ENTRY_BYTES * ENTRIES as usize;
     expect_that!(bytes_to_follower(&mut replica), eq(all));
-    replica.step(ELECTED_AT_MS + 150, FOLLOWER, refusal(ELECTED_AT_MS + 120));
+    replica.step(
+        ELECTED_AT_MS + 150,
+        FOLLOWER,
+        rejection(ELECTED_AT_MS + 120),
+    );
     expect_that!(bytes_to_follower(&mut replica), eq(all));
 }
 
@@ -145,8 +149,8 @@
 fn entries_are_sent_again_after_a_time_without_an_answer() {
     let mut replica = leader();
     bytes_to_follower(&mut replica);
-    replica.step(ELECTED_AT_MS + 20, FOLLOWER, refusal(ELECTED_AT_MS));
+    replica.step(ELECTED_AT_MS + 20, FOLLOWER, rejection(ELECTED_AT_MS));
     bytes_to_follower(&mut replica);
-    let sent = pass(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 1_000);
+    let sent = advance(&mut replica, ELECTED_AT_MS + 30, ELECTED_AT_MS + 1_000);
     expect_that!(sent, ge(ENTRY_BYTES * ENTRIES as usize));
 }
--- a/crates/coursestand-consensus/tests/simulation/group.rs
+++ b/crates/coursestand-consensus/tests/simulation/group.rs
@@ -88,7 +88,7 @@
     replica: Option<Replica>,
     storage: MemoryStorage,
     applied: Vec<Entry>,
-    is_frozen: bool,
+    is_paused: bool,
     crash_before_sync: bool,
     /// Duration of a sync.
     sync_ms: u64,
@@ -167,7 +167,7 @@
             replica: None,
             storage,
             applied: Vec::new(),
-            is_frozen: false,
+            is_paused: false,
             crash_before_sync: false,
             sync_ms: 0,
             syncing: None,
@@ -193,7 +193,7 @@
         config.mechanisms = self.mechanisms;
         config.max_batch = 4;
         config.snapshot_chunk = 3;
-        node.is_frozen = false;
+        node.is_paused = false;
         node.crash_before_sync = false;
         node.syncing = None;
         node.replica = Some(Replica::new(config, restored, node.clock(now)));
@@ -235,8 +235,8 @@
                 }
             }
             Fault::Restart { node } => self.start(self.id_of(*node)),
-            Fault::Pause { node } => self.set_frozen(*node, true),
-            Fault::Resume { node } => self.set_frozen(*node, false),
+            Fault::Pause { node } => self.set_paused(*node, true),
+            Fault::Resume { node } => self.set_paused(*node, false),
             Fault::Compact { node } => self.compact(self.id_of(*node)),
             Fault::LoseDisk { node } => self.lose_disk(self.id_of(*node)),
             Fault::Transfer { node } => self.transfer(self.id_of(*node)),
@@ -250,10 +250,10 @@
         self.check()
     }
 
-    fn set_frozen(&mut self, node: u8, is_frozen: bool) {
+    fn set_paused(&mut self, node: u8, is_paused: bool) {
         let id = self.id_of(node);
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.is_frozen = is_frozen;
+            node.is_paused = is_paused;
         }
     }
 
@@ -264,7 +264,7 @@
             return;
         };
         let clock = node.clock(now);
-        if let Some(replica) = node.replica.as_mut().filter(|_| !node.is_frozen) {
+        if let Some(replica) = node.replica.as_mut().filter(|_| !node.is_paused) {
             let payload = Payload::Command(command.to_le_bytes().to_vec());
             if replica.propose(clock, payload).is_ok() {
                 self.next_command += 1;
@@ -274,7 +274,7 @@
 
     fn transfer(&mut self, to: ReplicaId) {
         let now = self.now;
-        for node in self.nodes.values_mut().filter(|node| !node.is_frozen) {
+        for node in self.nodes.values_mut().filter(|node| !node.is_paused) {
             let clock = node.clock(now);
             if let Some(replica) = &mut node.replica {
                 // Replicas that don't lead return an error.
@@ -290,7 +290,7 @@
         if node.syncing.is_some() {
             return;
         }
-        let Some(replica) = node.replica.as_mut().filter(|_| !node.is_frozen) else {
+        let Some(replica) = node.replica.as_mut().filter(|_| !node.is_paused) else {
             return;
         };
         let Some(last) = node.applied.last() else {
@@ -323,7 +323,7 @@
             return;
         };
         let now = self.now;
-        for node in self.nodes.values_mut().filter(|node| !node.is_frozen) {
+        for node in self.nodes.values_mut().filter(|node| !node.is_paused) {
             let clock = node.clock(now);
             let Some(replica) = node.replica.as_mut().filter(|replica| replica.is_leader()) else {
                 continue;
@@ -378,7 +378,7 @@
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in ids {
             let now = self.now;
-            if let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_frozen) {
+            if let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_paused) {
                 let clock = node.clock(now);
                 if let Some(replica) = &mut node.replica {
                     replica.tick(clock);
@@ -394,7 +394,7 @@
         let Some(node) = self.nodes.get_mut(&envelope.to) else {
             return;
         };
-        if node.is_frozen {
+        if node.is_paused {
             // Stays in the socket buffer of the paused process.
             self.network.push(envelope);
             return;
@@ -409,7 +409,7 @@
     fn process_ready(&mut self, id: ReplicaId) -> Result<(), TestCaseError> {
         loop {
             let now = self.now;
-            let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_frozen) else {
+            let Some(node) = self.nodes.get_mut(&id).filter(|node| !node.is_paused) else {
                 return Ok(());
             };
             let Some(replica) = &mut node.replica else {
@@ -549,7 +549,7 @@
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in &ids {
             if let Some(node) = self.nodes.get_mut(id) {
-                node.is_frozen = false;
+                node.is_paused = false;
                 node.crash_before_sync = false;
                 node.sync_ms = 0;
             }
--- a/crates/coursestand-consensus/tests/wal.rs
+++ b/crates/coursestand-consensus/tests/wal.rs
@@ -175,7 +175,7 @@
         overwrite(&segment, frame + position, &[0xff, 0x5a]);
         let error = WriteAheadLog::open(folder.path())
             .err()
-            .expect("the damage is refused");
+            .expect("the corruption is reported");
         expect_that!(error.to_string(), contains_substring(what));
         let StorageError::Corrupt { path, offset, .. } = error else {
             panic!("another error: {error}");
