--- a/crates/coursestand-coordination/src/allocator.rs
+++ b/crates/coursestand-coordination/src/allocator.rs
@@ -18,7 +18,7 @@
 /// Slots above its share that a daemon may keep while no other daemon lacks slots.
 const MAX_SURPLUS: u32 = 2;
 
-/// Slots of slack that a daemon with demand may get beyond as many slots as its demand.
+/// The slack of a daemon with demand is at most its demand plus this many slots.
 const EXTRA_SLACK: u32 = 1;
 /// Divisor for the part of a pool's slots that stays free for new demand.
 const RESERVE_DIVISOR: u32 = 4;
@@ -37,7 +37,7 @@
 pub fn plan_slots(
     state: &ControlState,
     demand: &Demand,
-    down: &BTreeSet<BackendId>,
+    unreachable: &BTreeSet<BackendId>,
 ) -> Vec<SlotChange> {
     let Some(bundle) = state.bundle() else {
         return Vec::new();
@@ -50,7 +50,7 @@
             let pool = Pool {
                 service: &service.id,
                 zone,
-                backends: usable_backends(tables, bundle, &service.id, zone, down),
+                backends: usable_backends(tables, bundle, &service.id, zone, unreachable),
             };
             plan.allocate(&pool, demand);
         }
@@ -63,13 +63,15 @@
     bundle: &Bundle,
     service: &ServiceId,
     zone: &ZoneId,
-    down: &BTreeSet<BackendId>,
+    unreachable: &BTreeSet<BackendId>,
 ) -> Vec<BackendId> {
     tables
         .backends
         .iter()
         .filter(|(_, record)| record.service == *service && record.zone == *zone)
-        .filter(|(id, record)| !down.contains(*id) && accepts_new_work(tables, bundle, record))
+        .filter(|(id, record)| {
+            !unreachable.contains(*id) && accepts_new_work(tables, bundle, record)
+        })
         .map(|(id, _)| id.clone())
         .collect()
 }
--- a/crates/coursestand-coordination/src/catch_up.rs
+++ b/crates/coursestand-coordination/src/catch_up.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether to request the missing changes from `source` now; if so, the request
+    /// Returns whether to request the missing changes from `source` now; if so, the request
     /// counts as open. Other sources are silent if nothing arrived from them for
     /// `silence_timeout`, in milliseconds.
     pub fn should_request(
--- a/crates/coursestand-coordination/src/followers.rs
+++ b/crates/coursestand-coordination/src/followers.rs
@@ -98,7 +98,7 @@
         self.followers.remove(follower);
     }
 
-    /// Whether every lease of an earlier source has expired.
+    /// Returns whether every lease of an earlier source has expired.
     pub fn have_earlier_leases_ended(&self, now: Millis) -> bool {
         now >= self.started_at + LEASE_MS
     }
@@ -124,7 +124,7 @@
         self.followers.get(follower).map(|entry| entry.settled)
     }
 
-    /// Whether the follower may still decide at `now`.
+    /// Returns whether the follower may still decide at `now`.
     pub fn may_decide(&self, now: Millis, follower: &DaemonId) -> bool {
         match self.followers.get(follower) {
             Some(entry) => entry.lease_until > now,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Whether the follower's lease expired at least `grace` ago, so that the requests
+    /// Returns whether the follower's lease expired at least `grace` ago, so that the requests
     /// it dispatched have ended too.
     pub fn has_lease_expired(&self, now: Millis, follower: &DaemonId, grace: Millis) -> bool {
         match self.followers.get(follower) {
--- a/crates/coursestand-coordination/src/freshness.rs
+++ b/crates/coursestand-coordination/src/freshness.rs
@@ -2,10 +2,10 @@
 //!
 //! A change is acknowledged only once it is in the logs of a quorum of the replicas,
 //! and an entry in the logs of a quorum is never removed from them. If each replica of
-//! a quorum, asked at some time or later, reports that its log ends at or below an
-//! index that the copy covers, then the copy contains every change that was
-//! acknowledged before that time. This is a quorum read without the leader: it works
-//! while the group has no leader, and costs one number in answers that are sent anyway.
+//! a quorum, asked at time T or later, reports that its log ends at or below an index
+//! that the copy covers, then the copy contains every change that was acknowledged
+//! before T. This is a quorum read without the leader: it works while the group has no
+//! leader, and costs one number in answers that are sent anyway.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,12 +13,13 @@
 
 use crate::tables::ControlVersion;
 
-/// Answers kept per replica. While the log grows, the newest answer reports entries that
-/// the copy does not cover yet, but an earlier answer may already prove freshness.
+/// Maximum number of answers kept per replica. While the log grows, the newest answer
+/// reports entries that the copy does not cover, but an earlier answer may already prove
+/// freshness.
 const MAX_ANSWERS_PER_REPLICA: usize = 8;
 
-/// Versions awaited at the same time: one for each change that is announced while a large
-/// one is in transit.
+/// Maximum number of versions awaited at the same time. Each change that is announced while
+/// a large one is in transit adds one.
 const MAX_AWAITED_VERSIONS: usize = 64;
 
 /// A replica's report of the end of its log.
@@ -74,12 +75,12 @@
         if has_changed {
             // The earlier proof may rely on replicas that have left the group.
             self.proven_at = None;
-            self.prove();
+            self.update_proof();
         }
         true
     }
 
-    /// The members of the group.
+    /// Returns the members of the group.
     pub fn members(&self) -> &BTreeSet<Replica> {
         &self.members
     }
@@ -115,7 +116,7 @@
     /// Records that the copy contains all changes up to the log index `index`.
     pub fn advance_covered_index(&mut self, index: ControlVersion) {
         self.covered = self.covered.max(index);
-        self.prove();
+        self.update_proof();
     }
 
     /// Records that `replica`, asked at `asked_at`, reported that its log ends at `index`.
@@ -125,7 +126,7 @@
         if answers.len() > MAX_ANSWERS_PER_REPLICA {
             answers.pop_front();
         }
-        self.prove();
+        self.update_proof();
     }
 
     /// Returns the latest time before which every acknowledged change is in the copy.
@@ -143,7 +144,7 @@
         covered.map(|end| end.asked_at).max()
     }
 
-    fn prove(&mut self) {
+    fn update_proof(&mut self) {
         if self.members.is_empty() {
             return;
         }
--- a/crates/coursestand-coordination/src/once.rs
+++ b/crates/coursestand-coordination/src/once.rs
@@ -189,17 +189,17 @@
         }
     }
 
-    /// Number of recorded keys.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is recorded.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Highest wall clock of any command, in Unix milliseconds.
+    /// Returns the highest wall clock of any command, in Unix milliseconds.
     pub fn wall_ms(&self) -> Millis {
         self.wall_ms
     }
--- a/crates/coursestand-coordination/src/planner.rs
+++ b/crates/coursestand-coordination/src/planner.rs
@@ -11,7 +11,7 @@
 use crate::state::ControlState;
 use crate::tables::{DrainTarget, Tables};
 
-/// Whether a back end may get new requests: it is live and not drained.
+/// Returns whether a back end may get new requests: it is live and not drained.
 pub fn accepts_new_work(tables: &Tables, bundle: &Bundle, record: &PlatformBackend) -> bool {
     if record.state != BackendState::Live {
         return false;
@@ -29,11 +29,11 @@
 pub struct UsableSlots(BTreeMap<ServiceId, BTreeMap<ZoneId, u64>>);
 
 impl UsableSlots {
-    /// Sums the slots of back ends that accept new requests and are not `down`.
-    pub fn of(tables: &Tables, bundle: &Bundle, down: &BTreeSet<BackendId>) -> UsableSlots {
+    /// Sums the slots of back ends that accept new requests and are not in `unreachable`.
+    pub fn of(tables: &Tables, bundle: &Bundle, unreachable: &BTreeSet<BackendId>) -> UsableSlots {
         let mut usable = UsableSlots::default();
         for (id, record) in tables.backends.iter() {
-            if down.contains(id) || !accepts_new_work(tables, bundle, record) {
+            if unreachable.contains(id) || !accepts_new_work(tables, bundle, record) {
                 continue;
             }
             let zones = usable.0.entry(record.service.clone()).or_default();
@@ -128,13 +128,13 @@
 /// is that of its last command and does not advance while nothing is committed.
 pub fn plan_steps(
     state: &ControlState,
-    down: &BTreeSet<BackendId>,
+    unreachable: &BTreeSet<BackendId>,
     clock: Millis,
 ) -> Vec<(ShareKey, ShareVector)> {
     let Some(bundle) = state.bundle() else {
         return Vec::new();
     };
-    let usable = UsableSlots::of(state.tables(), bundle, down);
+    let usable = UsableSlots::of(state.tables(), bundle, unreachable);
     let mut steps = Vec::new();
     for service in &bundle.services {
         for origin in bundle.zones() {
--- a/crates/coursestand-coordination/src/shares.rs
+++ b/crates/coursestand-coordination/src/shares.rs
@@ -59,7 +59,7 @@
         self.0.get(zone).copied().unwrap_or(0)
     }
 
-    /// Whether the shares sum to all of the traffic.
+    /// Returns whether the shares sum to all of the traffic.
     pub fn is_complete(&self) -> bool {
         self.0.values().sum::<u32>() == FULL_SHARE
     }
@@ -79,17 +79,17 @@
             return target.clone();
         }
         let mut next = self.0.clone();
-        let mut to_take = budget;
+        let mut to_remove = budget;
         for (zone, share) in &self.0 {
-            let surplus = share.saturating_sub(target.of(zone)).min(to_take);
+            let surplus = share.saturating_sub(target.of(zone)).min(to_remove);
             *next.entry(zone.clone()).or_default() -= surplus;
-            to_take -= surplus;
+            to_remove -= surplus;
         }
-        let mut to_give = budget;
+        let mut to_add = budget;
         for (zone, share) in &target.0 {
-            let deficit = share.saturating_sub(self.of(zone)).min(to_give);
+            let deficit = share.saturating_sub(self.of(zone)).min(to_add);
             *next.entry(zone.clone()).or_default() += deficit;
-            to_give -= deficit;
+            to_add -= deficit;
         }
         next.retain(|_, share| *share > 0);
         ShareVector(next)
--- a/crates/coursestand-coordination/src/shift_ledger.rs
+++ b/crates/coursestand-coordination/src/shift_ledger.rs
@@ -43,7 +43,7 @@
         }
         let spent: u32 = moves
             .iter()
-            .filter(|shift| shift.counts(cap.window_ms, clock))
+            .filter(|shift| shift.counts_against_cap(cap.window_ms, clock))
             .map(|shift| shift.amount_bp)
             .sum();
         cap.share_bp.saturating_sub(spent)
@@ -84,14 +84,14 @@
     /// that a later bundle with a longer window still finds every move in it.
     pub fn drop_expired(&mut self, longest_window_ms: Millis, clock: Millis) {
         for moves in self.moves.values_mut() {
-            moves.retain(|shift| shift.counts(longest_window_ms, clock));
+            moves.retain(|shift| shift.counts_against_cap(longest_window_ms, clock));
         }
         self.moves.retain(|_, moves| !moves.is_empty());
     }
 }
 
 impl Move {
-    fn counts(&self, window_ms: Millis, clock: Millis) -> bool {
+    fn counts_against_cap(&self, window_ms: Millis, clock: Millis) -> bool {
         self.confirmed_at
             .is_none_or(|confirmed_at| clock < confirmed_at + window_ms)
     }
--- a/crates/coursestand-coordination/src/slots.rs
+++ b/crates/coursestand-coordination/src/slots.rs
@@ -78,7 +78,7 @@
     pub version: ControlVersion,
 }
 
-/// New slot counts of one daemon on some back ends.
+/// New slot count of one daemon on one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotChange {
     /// The daemon.
@@ -250,7 +250,9 @@
         .map_or(u32::MAX, |link| link.capacity)
 }
 
-/// Applies all of the slot changes, or none and returns why.
+/// Applies the slot changes atomically. Returns an error, and applies none, if one of them
+/// exceeds a limit, or grants slots on an unknown back end or to a daemon that is not a
+/// member.
 pub fn adjust(
     tables: &mut Tables,
     releases: &mut Vec<Release>,
--- a/crates/coursestand-coordination/src/state.rs
+++ b/crates/coursestand-coordination/src/state.rs
@@ -126,52 +126,52 @@
             .and_then(|in_force| serde_json::from_str(&in_force.content).ok());
     }
 
-    /// The rows that are replicated to followers.
+    /// Returns the rows that are replicated to followers.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// The replicated clock in milliseconds.
+    /// Returns the replicated clock in milliseconds.
     pub fn clock(&self) -> Millis {
         self.clock
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn bundle(&self) -> Option<&Bundle> {
         self.bundle.as_ref()
     }
 
-    /// Accepted changes.
+    /// Returns the history of accepted changes.
     pub fn history(&self) -> &BundleHistory {
         &self.history
     }
 
-    /// Moves of traffic shares that still count against the shift caps.
+    /// Returns the moves of traffic shares that still count against the shift caps.
     pub fn shift_ledger(&self) -> &ShiftLedger {
         &self.ledger
     }
 
-    /// Slots that were revoked and may still be in use.
+    /// Returns the slots that were revoked and may still be in use.
     pub fn releases(&self) -> &[Release] {
         &self.releases
     }
 
-    /// Claims of requests that run at most once.
+    /// Returns the claims of requests that run at most once.
     pub fn once(&self) -> &OnceLedger {
         &self.once
     }
 
-    /// Routes, services, limits and evacuated zones.
+    /// Returns the catalog: routes, services, limits and evacuated zones.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Longest time in milliseconds that a request may run after its dispatch.
+    /// Returns the longest time in milliseconds that a request may run after its dispatch.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.longest_deadline_ms
     }
 
-    /// Whether the sign-off policy is set.
+    /// Returns whether the sign-off policy is set.
     pub fn is_initialized(&self) -> bool {
         self.initialized
     }
--- a/crates/coursestand-coordination/src/tables.rs
+++ b/crates/coursestand-coordination/src/tables.rs
@@ -65,17 +65,17 @@
         self.rows.remove(key).map(|row| row.value)
     }
 
-    /// All rows in key order.
+    /// Iterates over all rows in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.rows.iter().map(|(key, row)| (key, &row.value))
     }
 
-    /// Number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Returns whether there is no row.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -126,7 +126,7 @@
 }
 
 impl MemberPhase {
-    /// Whether a daemon may change from this phase to `next` within one incarnation: a
+    /// Returns whether a daemon may change from this phase to `next` within one incarnation: a
     /// phase that it announced itself is not reverted.
     pub fn can_transition_to(self, next: MemberPhase) -> bool {
         match self {
@@ -151,7 +151,7 @@
 }
 
 impl Member {
-    /// Whether `next` describes a later incarnation, or a permitted phase of this one.
+    /// Returns whether `next` describes a later incarnation, or a permitted phase of this one.
     pub fn is_superseded_by(&self, next: &Member) -> bool {
         match next.incarnation.cmp(&self.incarnation) {
             std::cmp::Ordering::Less => false,
@@ -254,9 +254,9 @@
         }
     }
 
-    /// Returns the slots of one daemon, if they changed after `since`. For a daemon without a
-    /// row, returns an empty map as of the current version: its copy may still contain slots from a row that
-    /// was removed.
+    /// Returns the slots of one daemon, if they changed after `since`. For a daemon without
+    /// a row, returns an empty map as of the current version: the daemon's copy may still
+    /// contain the slots of a removed row.
     pub fn slots_delta(
         &self,
         since: ControlVersion,
@@ -292,12 +292,12 @@
         true
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn bundle_in_force(&self) -> Option<&BundleInForce> {
         self.bundle.get(&())
     }
 
-    /// Whether a drain order for this target is in effect.
+    /// Returns whether a drain order for this target is in effect.
     pub fn is_drained(&self, target: &DrainTarget) -> bool {
         self.drains.get(target).copied().unwrap_or(false)
     }
--- a/crates/coursestand-coordination/tests/followers.rs
+++ b/crates/coursestand-coordination/tests/followers.rs
@@ -19,8 +19,8 @@
 proptest! {
     #![proptest_config(deterministic_config(2_000))]
 
-    /// Whatever the delays and the clock drift within the bound, the follower stops
-    /// deciding before its lease expires at the source.
+    /// For any delays, and any clock drift within the bound, the follower stops deciding
+    /// before its lease expires at the source.
     #[test]
     fn a_follower_stops_before_its_lease_expires_at_the_source(
         answer_delay_ms in 0..1_500_u64,
--- a/crates/coursestand-coordination/tests/shift_cap.rs
+++ b/crates/coursestand-coordination/tests/shift_cap.rs
@@ -81,10 +81,10 @@
         zone: usize,
         is_drained: bool,
     },
-    Down {
+    SetUnreachable {
         zone: usize,
     },
-    Up,
+    SetAllReachable,
     Roll {
         to_new: bool,
     },
@@ -99,8 +99,8 @@
         6 => (1..12_u8).prop_map(|steps| Step::Wait { steps }),
         8 => (0..DAEMONS).prop_map(|daemon| Step::Receive { daemon }),
         2 => (0..ZONES, any::<bool>()).prop_map(|(zone, is_drained)| Step::Drain { zone, is_drained }),
-        1 => (0..ZONES).prop_map(|zone| Step::Down { zone }),
-        1 => Just(Step::Up),
+        1 => (0..ZONES).prop_map(|zone| Step::SetUnreachable { zone }),
+        1 => Just(Step::SetAllReachable),
         1 => any::<bool>().prop_map(|to_new| Step::Roll { to_new }),
         2 => (0..ZONES).prop_map(|zone| Step::Propose { zone }),
     ]
@@ -122,7 +122,7 @@
 struct Simulation {
     machine: Machine,
     observer: Observer,
-    down: BTreeSet<BackendId>,
+    unreachable: BTreeSet<BackendId>,
     /// Confirms the newest version for all daemons, whether or not they have received it.
     skips_confirmation: bool,
 }
@@ -142,7 +142,7 @@
         Simulation {
             machine,
             observer,
-            down: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             skips_confirmation,
         }
     }
@@ -170,12 +170,12 @@
                     OrderAction::Restore { target }
                 });
             }
-            Step::Down { zone: index } => {
+            Step::SetUnreachable { zone: index } => {
                 let ids = (0..BACKENDS).filter(|backend| backend % ZONES == *index);
-                self.down
+                self.unreachable
                     .extend(ids.map(|id| BackendId(format!("backend-{id}"))));
             }
-            Step::Up => self.down.clear(),
+            Step::SetAllReachable => self.unreachable.clear(),
             Step::Roll { to_new: true } => {
                 let current = self.machine.state.history().current();
                 self.machine.apply(Command::SubmitBundle {
@@ -194,7 +194,7 @@
     }
 
     fn plan(&self) -> Vec<(ShareKey, ShareVector)> {
-        plan_steps(&self.machine.state, &self.down, self.machine.clock)
+        plan_steps(&self.machine.state, &self.unreachable, self.machine.clock)
     }
 
     fn receive(&mut self, index: usize) {
--- a/crates/coursestand-coordination/tests/slots.rs
+++ b/crates/coursestand-coordination/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slot leases: whatever is proposed, the slots that daemons may use at the same time never
+//! Slot leases: for any proposals, the slots that daemons may use at the same time never
 //! exceed the capacity of a back end, a region or a link; and the allocator serves demand.
 #![allow(missing_docs)]
 
@@ -175,7 +175,7 @@
 
 impl Follower {
     /// Applies the changes since its version. The answer also grants a lease, so the
-    /// daemon is no longer frozen.
+    /// daemon may decide again.
     fn apply_delta(&mut self, machine: &Machine, daemon: &DaemonId) {
         let scope = SlotScope::Daemon(daemon);
         let delta = machine.state.tables().delta(self.tables.version, scope);
