--- a/crates/coursestand-steering/src/backends.rs
+++ b/crates/coursestand-steering/src/backends.rs
@@ -47,12 +47,12 @@
 }
 
 impl Backend {
-    /// Whether it may get requests while it has a free slot.
+    /// Returns whether it may get requests while it has a free slot.
     pub fn is_usable(&self) -> bool {
         self.state == BackendState::Live && self.failures < FAILURES_UNTIL_UNREACHABLE
     }
 
-    /// Whether the slots in use are within the slots held.
+    /// Returns whether the slots in use are within the slots held.
     pub fn is_within_slots(&self) -> bool {
         self.in_use <= self.slots
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Whether this daemon's requests on every back end are within the slots held.
+    /// Returns whether this daemon's requests on every back end are within the slots held.
     pub fn is_within_slots(&self) -> bool {
         self.backends.iter().all(Backend::is_within_slots)
     }
--- a/crates/coursestand-steering/src/clients.rs
+++ b/crates/coursestand-steering/src/clients.rs
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Number of blocks.
+    /// Returns the number of blocks.
     pub fn len(&self) -> usize {
         self.v4.len() + self.v6.len()
     }
 
-    /// Whether there is no block.
+    /// Returns whether there is no block.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/coursestand-steering/src/steering.rs
+++ b/crates/coursestand-steering/src/steering.rs
@@ -45,11 +45,11 @@
 pub enum Admission {
     /// Dispatch the request to this back end.
     Dispatch(Ticket),
-    /// No slot is free in the chosen zone; the request may wait for one.
+    /// No slot is free in the selected zone; the request may wait for one.
     Wait(PoolIndex),
     /// No slot is free and the limit of waiting requests is reached.
     QueueFull,
-    /// No zone has a share of this traffic, or the zone has no back ends.
+    /// No zone has a share of this traffic, or the selected zone has no back ends.
     NoBackends,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Steering {
-    /// Creates the state of a daemon without control state; it makes no decisions yet.
+    /// Creates the state of a daemon that has no control state and makes no decisions.
     pub fn new(daemon: DaemonId) -> Steering {
         Steering {
             daemon,
@@ -140,28 +140,28 @@
         }
     }
 
-    /// The rules in force.
+    /// Returns the rules in force.
     pub fn rules(&self) -> Option<Arc<Rules>> {
         self.rules.clone()
     }
 
-    /// Entry daemons by client zone.
+    /// Returns the entry daemons by client zone.
     pub fn directory(&self) -> Arc<EntryDirectory> {
         Arc::clone(&self.directory)
     }
 
-    /// This daemon's view of the back ends.
+    /// Returns this daemon's view of the back ends.
     pub fn backends(&self) -> &BackendTable {
         &self.backends
     }
 
-    /// This daemon's view of the back ends, to record changes of their state.
+    /// Returns this daemon's view of the back ends, to record changes of their state.
     pub fn backends_mut(&mut self) -> &mut BackendTable {
         &mut self.backends
     }
 
     /// Decides on a new request: selects the zone by the shares in force, then the back
-    /// end. The request counts as offered traffic whatever the outcome.
+    /// end. The request counts as offered traffic regardless of the outcome.
     pub fn admit(&mut self, service: &ServiceId, origin: &ZoneId) -> Admission {
         let zone = self
             .balancers
@@ -174,7 +174,7 @@
         self.admit_to_pool(pool, None)
     }
 
-    /// Decides on a request whose zone is already chosen: after a wait, or after the back
+    /// Decides on a request whose zone is already selected: after a wait, or after the back
     /// end `excluded` did not run it. The request stays in its zone, so that a retry moves
     /// no traffic between zones.
     pub fn admit_to_pool(&mut self, pool: PoolIndex, excluded: Option<BackendIndex>) -> Admission {
