--- a/crates/coursestand-catalog/src/catalog.rs
+++ b/crates/coursestand-catalog/src/catalog.rs
@@ -125,15 +125,15 @@
 
     /// Starts or ends the evacuation of a zone.
     pub fn set_evacuation(&mut self, zone: &ZoneId, is_active: bool, index: ChangeIndex) {
-        let known = self.evacuations.get(zone);
-        if known.is_some_and(|known| known.is_active == is_active) {
+        let current = self.evacuations.get(zone);
+        if current.is_some_and(|current| current.is_active == is_active) {
             return;
         }
-        let changed = Evacuation {
+        let evacuation = Evacuation {
             is_active,
             changed: index,
         };
-        self.evacuations.insert(zone.clone(), changed);
+        self.evacuations.insert(zone.clone(), evacuation);
         self.version = self.version.max(index);
     }
 
@@ -188,23 +188,23 @@
         if delta.since > self.version {
             return false;
         }
-        let mut changed = false;
+        let mut has_changed = false;
         for (key, entry) in delta.items {
-            let known = self.items.get(&key);
-            if known.is_none_or(|known| entry.version > known.version) {
+            let current = self.items.get(&key);
+            if current.is_none_or(|current| entry.version > current.version) {
                 self.items.insert(key, entry);
-                changed = true;
+                has_changed = true;
             }
         }
         for (zone, evacuation) in delta.evacuations {
-            let known = self.evacuations.get(&zone);
-            if known.is_none_or(|known| evacuation.changed > known.changed) {
+            let current = self.evacuations.get(&zone);
+            if current.is_none_or(|current| evacuation.changed > current.changed) {
                 self.evacuations.insert(zone, evacuation);
-                changed = true;
+                has_changed = true;
             }
         }
         self.version = self.version.max(delta.version);
-        changed
+        has_changed
     }
 
     /// Iterates over the items that are not removed.
--- a/crates/coursestand-catalog/src/patch.rs
+++ b/crates/coursestand-catalog/src/patch.rs
@@ -68,10 +68,10 @@
 }
 
 impl Patch {
-    /// Validates the content of all items. Routes may refer to the services in `known`,
-    /// which are those that the catalog has or had, and to those of the patch itself.
-    pub fn validate(&self, known: &BTreeSet<ServiceId>) -> Result<(), InvalidPatch> {
-        let mut services = known.clone();
+    /// Validates the content of all items. Routes may refer to `known_services`, which the
+    /// catalog contains or has contained, and to the services of the patch itself.
+    pub fn validate(&self, known_services: &BTreeSet<ServiceId>) -> Result<(), InvalidPatch> {
+        let mut services = known_services.clone();
         for upsert in &self.upserts {
             if let ItemKey::Service(service) = &upsert.key {
                 services.insert(service.clone());
--- a/crates/coursestand-catalog/tests/merge.rs
+++ b/crates/coursestand-catalog/tests/merge.rs
@@ -83,8 +83,10 @@
     /// Applies a change; returns whether it is accepted.
     fn set(&mut self, name: &str, version: u64, content: Option<u64>) -> bool {
         match self.items.get(name) {
-            Some((items, old)) if *items == version && content.is_some() => *old == content,
-            Some((items, _)) if *items >= version => true,
+            Some((current, existing)) if *current == version && content.is_some() => {
+                *existing == content
+            }
+            Some((current, _)) if *current >= version => true,
             _ => {
                 self.items.insert(name.to_owned(), (version, content));
                 true
@@ -134,11 +136,11 @@
         let mut catalog = with_service();
         let mut reference = ReferenceMap::default();
         for (index, change) in all.iter().enumerate() {
-            let taken = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
-            prop_assert_eq!(taken, reference.set(&change.name, change.version, change.content));
+            let is_accepted = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
+            prop_assert_eq!(is_accepted, reference.set(&change.name, change.version, change.content));
             // A resent change gets the same answer.
-            let again = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
-            prop_assert_eq!(again, taken);
+            let is_resend_accepted = catalog.merge(&patch_of(change), index as u64 + 2).is_ok();
+            prop_assert_eq!(is_resend_accepted, is_accepted);
         }
         let expected: BTreeMap<String, (u64, u64)> = reference
             .items
@@ -164,9 +166,9 @@
         for pick in order {
             follower.adopt(deltas[pick % deltas.len()].clone());
             for (key, version, _) in follower.live_items() {
-                let known = newest.entry(key.clone()).or_default();
-                prop_assert!(version >= *known);
-                *known = version;
+                let highest = newest.entry(key.clone()).or_default();
+                prop_assert!(version >= *highest);
+                *highest = version;
             }
         }
         follower.adopt(source.delta(0));
@@ -193,7 +195,7 @@
         service: ServiceId::from("s"),
         weight: 0,
     }]);
-    let broken = [
+    let invalid_routes = [
         (
             "host",
             Route {
@@ -232,17 +234,17 @@
             },
         ),
     ];
-    for (wrong, route_with_fault) in broken {
+    for (invalid_field, invalid_route) in invalid_routes {
         let mut catalog = with_service();
         let mut patch = upsert("good", 1, route(5));
         patch
             .upserts
-            .extend(upsert("bad", 1, route_with_fault).upserts);
+            .extend(upsert("bad", 1, invalid_route).upserts);
         let refused = catalog.merge(&patch, 2).expect_err("invalid");
         match refused {
             InvalidPatch::Field { route, field, .. } => {
                 expect_that!(route.as_str(), eq("bad"));
-                expect_that!(field.as_str(), eq(wrong));
+                expect_that!(field.as_str(), eq(invalid_field));
             }
             InvalidPatch::Conflict { .. } => panic!("another reason: {refused}"),
         }
