--- a/crates/coursestand-transport/benches/exchange.rs
+++ b/crates/coursestand-transport/benches/exchange.rs
@@ -41,7 +41,7 @@
 
 fn print(name: &str, mut micros: Vec<u128>) {
     micros.sort_unstable();
-    let at = |part: f64| micros[((micros.len() - 1) as f64 * part) as usize];
+    let at = |quantile: f64| micros[((micros.len() - 1) as f64 * quantile) as usize];
     println!("{name}: p50 {} us, p99 {} us", at(0.5), at(0.99));
 }
 
--- a/crates/coursestand-transport/src/client.rs
+++ b/crates/coursestand-transport/src/client.rs
@@ -17,7 +17,7 @@
 use crate::frame::{MAX_FRAME_BYTES, MessagingSnafu, TransportError, decode, encode};
 
 /// Time after which the library resends a request by itself. Longer than any deadline,
-/// because only the caller knows whether a request may be sent again.
+/// because only the caller can decide whether a request may be sent again.
 const RESEND_TIME: Duration = Duration::from_secs(24 * 3600);
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(500);
--- a/crates/coursestand-transport/src/stream.rs
+++ b/crates/coursestand-transport/src/stream.rs
@@ -76,7 +76,7 @@
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of failed attempts after which connecting fails if no attempt is pending: no
 /// process listens on the address.
-const MAX_REFUSALS: usize = 3;
+const MAX_FAILED_ATTEMPTS: usize = 3;
 
 /// Connects to `address` with overlapping attempts; the first success wins.
 pub async fn connect<In, Out>(
@@ -93,16 +93,16 @@
 
 async fn attempt_until_connected(address: SocketAddr) -> io::Result<TcpStream> {
     let mut attempts = FuturesUnordered::new();
-    let mut pause = tokio::time::interval(ATTEMPT_INTERVAL);
-    let mut refusals = 0;
+    let mut attempt_interval = tokio::time::interval(ATTEMPT_INTERVAL);
+    let mut failed_attempts = 0;
     loop {
         tokio::select! {
-            _ = pause.tick() => attempts.push(TcpStream::connect(address)),
+            _ = attempt_interval.tick() => attempts.push(TcpStream::connect(address)),
             Some(result) = attempts.next(), if !attempts.is_empty() => match result {
                 Ok(stream) => return Ok(stream),
                 Err(error) => {
-                    refusals += 1;
-                    if refusals >= MAX_REFUSALS && attempts.is_empty() {
+                    failed_attempts += 1;
+                    if failed_attempts >= MAX_FAILED_ATTEMPTS && attempts.is_empty() {
                         return Err(error);
                     }
                 }
--- a/crates/coursestand-transport/tests/exchange.rs
+++ b/crates/coursestand-transport/tests/exchange.rs
@@ -41,12 +41,12 @@
             )
         }
     });
-    for (number, answer) in futures_join(exchanges).await {
+    for (number, answer) in join_all(exchanges).await {
         expect_that!(answer.expect("an answer"), eq(number * 2));
     }
 }
 
-async fn futures_join<F: Future + Send + 'static>(all: impl Iterator<Item = F>) -> Vec<F::Output>
+async fn join_all<F: Future + Send + 'static>(all: impl Iterator<Item = F>) -> Vec<F::Output>
 where
     F::Output: Send,
 {
