--- a/crates/coursestand-routing/src/backends.rs
+++ b/crates/coursestand-routing/src/backends.rs
@@ -398,16 +398,16 @@
         self.change_limit(id, |limit| KnownLimit::apply_reading(limit, now, reading))
     }
 
-    /// Records that this incarnation reported a rate limit to other daemons at `named_at`.
+    /// Records that this incarnation reported a rate limit to other daemons at `reported_at`.
     pub fn note_remote_rate(
         &mut self,
-        named_at: Millis,
+        reported_at: Millis,
         incarnation_hash: u64,
         rate: Rate,
     ) -> Option<LimitChange> {
         let id = self.find_incarnation(incarnation_hash)?.instance.id.clone();
         self.change_limit(&id, |limit| {
-            KnownLimit::apply_reported(limit, named_at, rate)
+            KnownLimit::apply_reported(limit, reported_at, rate)
         })
     }
 
@@ -428,7 +428,7 @@
     /// [`KnownLimit::note_denied`].
     pub fn note_denied(
         &mut self,
-        asked_at: Millis,
+        requested_at: Millis,
         incarnation_hash: u64,
         again_in_ms: Millis,
         priority: u32,
@@ -436,7 +436,7 @@
         let mut backends = self.backends.values_mut();
         let backend = backends.find(|backend| backend.incarnation_hash == incarnation_hash);
         if let Some(limit) = backend.and_then(|backend| backend.limit.as_mut()) {
-            limit.note_denied(asked_at, again_in_ms, priority);
+            limit.note_denied(requested_at, again_in_ms, priority);
         }
     }
 
@@ -478,9 +478,9 @@
 
     /// Records that the process at the back end's address identified itself as another
     /// instance. If another back end is known at that address, this one has terminated and is
-    /// removed, whatever control processes still announce: if they have forgotten it, this
-    /// daemon would learn of its end from nobody else. Otherwise it is only ejected: a faulty
-    /// back end may report a wrong identity, and one such answer must not remove it for good.
+    /// removed, even if control processes announce it: after they have dropped it, they never
+    /// report its termination to this daemon. Otherwise it is only ejected: a faulty back end
+    /// may report a wrong identity, and one such answer must not remove it for good.
     pub fn note_misdirected(&mut self, now: Millis, id: &BackendId) {
         if self.shares_address(id) {
             self.table.mark_gone(now, id);
@@ -499,8 +499,8 @@
         others.any(|other| other.instance.id != *id && other.instance.address == address)
     }
 
-    /// Records that the back end gave no valid answer, and ejects it after several such
-    /// failures in a row.
+    /// Records that the back end gave no valid answer, and ejects it after several
+    /// consecutive failures of this kind.
     pub fn note_failure(&mut self, now: Millis, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.failures += 1;
--- a/crates/coursestand-routing/src/fatal_requests/crash_record.rs
+++ b/crates/coursestand-routing/src/fatal_requests/crash_record.rs
@@ -102,7 +102,8 @@
         lasts_ms
     }
 
-    /// Returns whether a crash at `now` is due to a request that was sent before the quarantine.
+    /// Returns whether the request is quarantined for longer than `QUARANTINE_SKEW_MS` after
+    /// `now`. A crash at such a time is due to a run that began before the quarantine.
     pub(super) fn is_quarantined(&self, now: Millis) -> bool {
         now.saturating_add(QUARANTINE_SKEW_MS) < self.quarantined_until
     }
--- a/crates/coursestand-routing/src/fatal_requests/mod.rs
+++ b/crates/coursestand-routing/src/fatal_requests/mod.rs
@@ -7,7 +7,7 @@
 //! - An answer, by any daemon, to a run that began after the first crash clears the record. An
 //!   object that is often requested is in flight at every crash, and is answered as often.
 //! - Crashes at nearly the same time may have a common cause (a rack, a zone): the crashes of a
-//!   record must be further apart than the time in which daemons learn of one.
+//!   record must be further apart than the time in which the report of one reaches all daemons.
 //! - The crashes for which one request is quarantined are attributed to it, and count against
 //!   no other. Of several requests with equally many crashes none is quarantined before there
 //!   are more crashes.
@@ -43,7 +43,7 @@
 mod permits;
 mod verdicts;
 
-/// Time after which a caller may ask again whose request waits for the result of another run:
+/// Retry delay of a caller whose request is withheld while another run of it is in progress:
 /// the duration of two runs.
 const SUSPECT_RETRY_MS: Millis = 300;
 /// Limit on crash records, on known crashes and on cleared requests, each. A record takes about
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
-/// The crash records that one process knows.
+/// The crash records of one process.
 #[derive(Clone, Debug)]
 pub struct FatalRequests {
     /// Hash of this daemon's name.
@@ -120,8 +120,8 @@
     }
 
     /// Decides whether a request may be sent for the first time. A suspect request runs one at
-    /// a time: at its owner where daemons know each other (`is_owner`), and otherwise at each
-    /// daemon.
+    /// a time, and only at its owner. `is_owner` is true at the owner, and at each daemon
+    /// without control.
     pub fn may_run(
         &self,
         now: Millis,
@@ -190,7 +190,7 @@
         self.permits.grant(now, request);
     }
 
-    /// Consumes the permit to try a request. Returns whether there was a valid one.
+    /// Consumes the permit to run a trial of a request. Returns whether there was a valid one.
     pub fn take_permit(&mut self, now: Millis, request: Fingerprint) -> bool {
         self.permits.take(now, request)
     }
@@ -394,9 +394,9 @@
         true
     }
 
-    /// Decides, for all daemons, whether one of them may run a trial of a request. The trial counts as
-    /// failed until an answer is reported, since the daemon that runs it may stop before it
-    /// reports the result.
+    /// Decides, for all daemons, whether one of them may run a trial of a request. The trial
+    /// counts as failed until an answer is reported, since the daemon that runs it may stop
+    /// before it reports the result.
     pub fn grant_trial(&mut self, now: Millis, request: Fingerprint) -> TrialVerdict {
         // A quarantine may have been deferred until all reports of a crash had arrived.
         self.quarantine_proven(now);
@@ -456,20 +456,23 @@
     /// answered frequently come first.
     fn next_to_quarantine(&self, now: Millis) -> Option<Fingerprint> {
         let records = self.records.iter();
-        let open =
+        let candidates =
             records.filter(|(_, record)| !record.is_quarantined(now) && !record.crashes.is_empty());
-        if let Some((request, _)) = open.clone().find(|(_, record)| record.quarantines > 0) {
+        if let Some((request, _)) = candidates
+            .clone()
+            .find(|(_, record)| record.quarantines > 0)
+        {
             return Some(*request);
         }
         let rank = |record: &CrashRecord| (!record.is_frequent, record.crashes.len());
-        let proven: Vec<_> = open
+        let proven: Vec<_> = candidates
             .filter(|(_, record)| record.has_sufficient_evidence(self.own_hash))
             .collect();
         let best = proven.iter().map(|(_, record)| rank(record)).max()?;
         let equals = proven.iter().filter(|(_, record)| rank(record) == best);
-        let is_shared = equals.clone().count() > 1 && best.1 < QUARANTINE_CRASHES_IF_FREQUENT;
+        let is_tied = equals.clone().count() > 1 && best.1 < QUARANTINE_CRASHES_IF_FREQUENT;
         let first = equals.map(|(request, _)| **request).min();
-        first.filter(|request| !is_shared && !self.may_be_tied(now, *request))
+        first.filter(|request| !is_tied && !self.may_be_tied(now, *request))
     }
 
     /// Returns whether pending reports may bring another request to as many crashes. Each daemon
@@ -493,8 +496,8 @@
             record.crashes.retain(|crash| is_recent(crash.at));
         }
         self.records.retain(|_, record| {
-            let recent = is_recent(record.quarantined_until.max(record.last_event_at));
-            !record.crashes.is_empty() || record.quarantines > 0 && recent
+            let has_recent_event = is_recent(record.quarantined_until.max(record.last_event_at));
+            !record.crashes.is_empty() || record.quarantines > 0 && has_recent_event
         });
         while self.records.len() >= MAX_RECORDS {
             let oldest = self
--- a/crates/coursestand-routing/src/fatal_requests/permits.rs
+++ b/crates/coursestand-routing/src/fatal_requests/permits.rs
@@ -6,10 +6,10 @@
 
 use super::Fingerprint;
 
-/// How long a granted trial may be started.
+/// Time within which a granted trial must be started.
 const PERMIT_MS: Millis = 5_000;
 
-/// Requests that this daemon may try, with the time at which the permit expires.
+/// Requests of which this daemon may run a trial, with the time at which the permit expires.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Permits(BTreeMap<Fingerprint, Millis>);
 
--- a/crates/coursestand-routing/src/fatal_requests/verdicts.rs
+++ b/crates/coursestand-routing/src/fatal_requests/verdicts.rs
@@ -11,7 +11,7 @@
     /// Back ends crashed while the request was in flight, and it is run elsewhere to find out
     /// whether it is the cause.
     Suspected {
-        /// Time until the caller may ask again, in milliseconds.
+        /// Time until the caller may retry, in milliseconds.
         again_in_ms: Millis,
     },
     /// The request is quarantined: too many back ends crashed while it was in flight.
@@ -21,19 +21,20 @@
     },
     /// The request runs only as a trial, if control grants one.
     NeedsTrial {
-        /// Time until the caller may ask again if no trial is granted, in milliseconds.
+        /// Time until the caller may retry if no trial is granted, in milliseconds.
         again_in_ms: Millis,
     },
 }
 
-/// Answer of control to a daemon that asks for a trial of a request.
+/// Answer of control to a daemon that requests a trial of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrialVerdict {
-    /// The daemon may send the request once. The record says how long it is rejected meanwhile.
+    /// The daemon may send the request once. The record contains the time for which it is
+    /// rejected otherwise.
     Granted(SharedCrashRecord),
     /// No trial is possible at this time.
     Refused(SharedCrashRecord),
-    /// Nothing counts against the request.
+    /// The request has no crash record, or too few crashes to need a trial.
     Cleared(Fingerprint),
 }
 
--- a/crates/coursestand-routing/src/link_admission.rs
+++ b/crates/coursestand-routing/src/link_admission.rs
@@ -354,7 +354,7 @@
         delay_ms.clamp(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS) as Millis
     }
 
-    /// Counts a request of `route`.
+    /// Adds a request to the statistics of `route`.
     fn count(&mut self, route: &RouteEntry, request_bytes: f64) -> &RouteTraffic {
         let traffic = self
             .routes
@@ -470,7 +470,7 @@
 
     fn adapt_rate(&mut self, throughput: f64, has_queue: bool) {
         let adapted = match self.rate {
-            // While a queue stands, the throughput equals the link's capacity. The rate is
+            // With a standing queue, the throughput equals the link's capacity. The rate is
             // set slightly lower, so that the queue drains.
             Some(rate) if has_queue => throughput.max(rate) * DECREASE,
             Some(rate) => rate * INCREASE,
@@ -480,7 +480,7 @@
         };
         self.rate = match self.speed {
             Some(speed) => Some(adapted.clamp(MIN_RATE_FRACTION * speed, speed)),
-            // At twice the throughput the rate no longer limits anything, so it is dropped.
+            // A rate above twice the throughput limits nothing, so it is dropped.
             None if adapted > 2.0 * throughput && !has_queue => None,
             None => Some(adapted),
         };
--- a/crates/coursestand-routing/src/picker.rs
+++ b/crates/coursestand-routing/src/picker.rs
@@ -93,7 +93,7 @@
     },
 }
 
-/// Location of this daemon, and the limits of its deployment.
+/// Name and location of this daemon, and the limits of its deployment.
 #[derive(Clone, Debug)]
 pub struct PickerConfig {
     /// Name of this daemon.
@@ -182,7 +182,7 @@
             .partition(|backend| self.region_of(backend) == home.as_ref());
         // A request that spills over to back ends that are not warm for its object takes
         // several times the work and evicts other warm objects. So a region serves the
-        // keys of another one only if that one has no back end left.
+        // keys of another one only if that one has no back end in service.
         let group = if near.is_empty() { far } else { near };
         let refusal = match self.pick_among(&group, request) {
             Ok(pick) => return Ok(pick),
--- a/crates/coursestand-routing/src/rate_limit/access.rs
+++ b/crates/coursestand-routing/src/rate_limit/access.rs
@@ -37,7 +37,7 @@
 }
 
 impl FallbackShare {
-    /// Returns the time in which one request may be sent, in milliseconds.
+    /// Returns the interval in which one request may be sent, in milliseconds.
     fn interval_ms(&self, rate: Rate) -> Millis {
         let per_second = rate.as_per_second().max(MIN_PER_SECOND) * SHARE_WITHOUT_CONTROL;
         let seconds = self.daemons.max(1) as f64 / per_second;
--- a/crates/coursestand-routing/src/rate_limit/issuer.rs
+++ b/crates/coursestand-routing/src/rate_limit/issuer.rs
@@ -15,7 +15,7 @@
 const RESERVATION_MS: Millis = 1_000;
 /// Reports of two daemons whose times differ by less count as simultaneous.
 const SIMULTANEOUS_MS: Millis = 100;
-/// Token requests for each issued token, beyond which daemons have to ask at longer
+/// Token requests for each issued token, beyond which daemons have to send them at longer
 /// intervals.
 const MAX_REQUESTS_PER_TOKEN: f64 = 8.0;
 /// Window over which requests are counted.
@@ -26,7 +26,7 @@
 const MAX_BUCKETS: usize = 4_096;
 /// Time without requests after which a bucket may be evicted.
 const BUCKET_IDLE_MS: Millis = 60_000;
-/// Time until a daemon may ask again for a back end that got no bucket.
+/// Time until a daemon may request a token again for a back end without a bucket.
 const NO_BUCKET_PAUSE_MS: Millis = 1_000;
 
 /// Request of a daemon for a token to send one request to a rate-limited back end.
@@ -49,7 +49,7 @@
     Issued,
     /// There is no token at this time.
     Denied {
-        /// Time until the daemon may ask again, in milliseconds.
+        /// Time until the daemon may request a token again, in milliseconds.
         again_in_ms: Millis,
         /// The limit by which tokens are issued.
         rate: Rate,
@@ -69,12 +69,12 @@
     lifted_at: Option<Millis>,
     tokens: f64,
     refilled_at: Millis,
-    asked_at: Millis,
+    last_requested_at: Millis,
     /// Rank of the most urgent request that was denied recently, and the time of the denial.
     denied: Option<(u32, Millis)>,
     demand: Demand,
     issued: u64,
-    refused: u64,
+    denied_count: u64,
 }
 
 /// Rate of token requests, and the delay that is added to the daemons' pauses.
@@ -139,11 +139,11 @@
             lifted_at: None,
             tokens: 0.0,
             refilled_at: now,
-            asked_at: now,
+            last_requested_at: now,
             denied: None,
             demand: Demand::new(now),
             issued: 0,
-            refused: 0,
+            denied_count: 0,
         }
     }
 
@@ -190,7 +190,7 @@
 
     fn issue(&mut self, now: Millis, priority: u32) -> TokenVerdict {
         let per_second = self.per_second();
-        self.asked_at = now;
+        self.last_requested_at = now;
         self.demand.record(now, per_second);
         self.refill(now);
         let missing = self.required_tokens(now, priority) - self.tokens;
@@ -199,7 +199,7 @@
             self.issued += 1;
             return TokenVerdict::Issued;
         }
-        self.refused += 1;
+        self.denied_count += 1;
         self.note_denied(now, priority);
         let available_in_ms = (missing / per_second * 1_000.0).ceil() as Millis;
         TokenVerdict::Denied {
@@ -284,7 +284,7 @@
         let is_full = self.buckets.len() >= MAX_BUCKETS;
         if is_full && !self.buckets.contains_key(&backend) {
             self.buckets
-                .retain(|_, bucket| now < bucket.asked_at + BUCKET_IDLE_MS);
+                .retain(|_, bucket| now < bucket.last_requested_at + BUCKET_IDLE_MS);
             if self.buckets.len() >= MAX_BUCKETS {
                 return None;
             }
@@ -312,7 +312,7 @@
                     .then(|| bucket.rate.as_per_second()),
                 tokens: bucket.tokens,
                 issued: bucket.issued,
-                denied: bucket.refused,
+                denied: bucket.denied_count,
             })
             .collect();
         views.sort_by_key(|view| view.backend);
--- a/crates/coursestand-routing/src/rate_limit/known.rs
+++ b/crates/coursestand-routing/src/rate_limit/known.rs
@@ -9,7 +9,7 @@
 /// Requests per second for each daemon from which a limit is divided among the daemons.
 const MIN_DIVIDED_PER_SECOND: f64 = 20.0;
 
-/// What one answer of a back end says of its rate limit.
+/// The rate limit signal in one answer of a back end, and the conditions for applying it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
     /// The signal in the answer.
@@ -85,12 +85,12 @@
         self.denied_ms(now) == 0 || priority < self.denied_priority
     }
 
-    /// Records that control denied a token to a request of this rank that was made at `asked_at`,
+    /// Records that control denied a token to a request of this rank that was made at `requested_at`,
     /// and issues none for `again_in_ms` after its decision. The time of the decision is not
-    /// known here, so the time of the request is used: asking too early costs a message, while
-    /// asking too late leaves a token unused.
-    pub fn note_denied(&mut self, asked_at: Millis, again_in_ms: Millis, priority: u32) {
-        self.denied_until = asked_at.saturating_add(again_in_ms);
+    /// known here, so the time of the request is used: a request that is too early costs a message,
+    /// while one that is too late leaves a token unused.
+    pub fn note_denied(&mut self, requested_at: Millis, again_in_ms: Millis, priority: u32) {
+        self.denied_until = requested_at.saturating_add(again_in_ms);
         self.denied_priority = priority;
     }
 
--- a/crates/coursestand-routing/src/rate_limit/mod.rs
+++ b/crates/coursestand-routing/src/rate_limit/mod.rs
@@ -4,8 +4,8 @@
 //! The leading control process issues a token for each request that is sent to such a back end,
 //! from one bucket for all daemons ([`TokenIssuer`]). A daemon keeps the limits of its back ends
 //! ([`KnownLimit`]) and decides by [`LimitAccess`] to which of them a request may be sent.
-//! Without control it uses a small share of the limit. A limit that is large for each daemon is
-//! divided among them instead.
+//! Without control it uses a small share of the limit. A limit that leaves each daemon a large
+//! share is divided among the daemons instead.
 
 mod access;
 mod issuer;
--- a/crates/coursestand-routing/src/rate_limit/rate.rs
+++ b/crates/coursestand-routing/src/rate_limit/rate.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// What an answer says of the rate limit of its back end.
+/// The rate limit signal in an answer of a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateLimitSignal {
     /// No usable information: the answer is a failure without a limit, or its limit cannot be
--- a/crates/coursestand-routing/src/retry_allowance.rs
+++ b/crates/coursestand-routing/src/retry_allowance.rs
@@ -4,8 +4,8 @@
 //! Only whole retries are distributed: the same number to each daemon, and the remainder to
 //! the daemons that rank first by the hashes of their names. So the shares of 65 or 3,500
 //! daemons sum up to no more than those of three. A daemon holds its share under a lease:
-//! only while it is connected to a majority of the control processes does it know all other
-//! connected daemons, and they know it. Retries that it may have spent before it lost these
+//! only while it is connected to a majority of the control processes does its list contain all
+//! other connected daemons, and do their lists contain it. Retries that it may have spent before it lost these
 //! connections, or in a previous incarnation, still count for a span. Therefore
 //!
 //! * a daemon that starts, or whose lease has expired, has no share for one settling time;
@@ -49,7 +49,7 @@
 }
 
 impl RetryAllowance {
-    /// Returns the allowance of the daemon with this name, which knows no other daemons yet.
+    /// Returns the allowance of the daemon with this name, with an empty list of others.
     /// `hand_over_ms` is the time after which a disconnected daemon has detected it and all
     /// other daemons have been notified.
     pub fn new(name: &str, limits: RetryLimits, hand_over_ms: Millis) -> RetryAllowance {
--- a/crates/coursestand-routing/src/retry_budget.rs
+++ b/crates/coursestand-routing/src/retry_budget.rs
@@ -93,13 +93,13 @@
 
     /// Deducts one retry, oldest fractions first.
     fn take(&mut self) {
-        let mut wanted = 1.0;
+        let mut remaining = 1.0;
         while let Some((_, sum)) = self.steps.front_mut() {
-            if *sum > wanted {
-                *sum -= wanted;
+            if *sum > remaining {
+                *sum -= remaining;
                 return;
             }
-            wanted -= *sum;
+            remaining -= *sum;
             self.steps.pop_front();
         }
     }
--- a/crates/coursestand-routing/tests/backoff.rs
+++ b/crates/coursestand-routing/tests/backoff.rs
@@ -247,7 +247,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(33), ..ProptestConfig::with_cases(2_000) })]
 
-    /// Whatever the order of events, no request is sent to a back end whose incarnation is
+    /// With any order of events, no request is sent to a back end whose incarnation is
     /// backing off or draining, and no request is refused because of back-offs while one
     /// is available.
     #[gtest]
--- a/crates/coursestand-routing/tests/cold.rs
+++ b/crates/coursestand-routing/tests/cold.rs
@@ -52,23 +52,23 @@
     let mut gates = vec![ColdGate::default(); names.len()];
     // The owners by rendezvous hashing are disconnected in the order of their rank.
     let mut remaining = daemons();
-    let mut cut_at = BTreeMap::new();
+    let mut disconnected_at = BTreeMap::new();
     for number in 0..5 {
         let first = owner(&id, remaining.iter().map(String::as_str))
             .expect("an owner")
             .to_owned();
         remaining.remove(&first);
-        cut_at.insert(first, 10_000 + number * 200);
+        disconnected_at.insert(first, 10_000 + number * 200);
     }
     let mut sent = Vec::new();
     for now in (0..20_000_u64).step_by(10) {
         let connected: BTreeSet<String> = names
             .iter()
-            .filter(|name| cut_at.get(*name).is_none_or(|at| now < *at))
+            .filter(|name| disconnected_at.get(*name).is_none_or(|at| now < *at))
             .cloned()
             .collect();
         for (number, name) in names.iter().enumerate() {
-            let view = match cut_at.get(name) {
+            let view = match disconnected_at.get(name) {
                 Some(at) if now >= at + DETECTION_MS => None,
                 // It receives no updates and keeps its last view.
                 Some(at) if now >= *at => views[number].current().cloned(),
--- a/crates/coursestand-routing/tests/completion.rs
+++ b/crates/coursestand-routing/tests/completion.rs
@@ -65,8 +65,8 @@
     let refusing = [candidate(20.0, true, true), candidate(0.0, false, false)];
     expect_that!(choose(&refusing, None, 400.0, HARD_LOAD), ok(eq(1)));
     expect_that!(choose(&[], None, 400.0, HARD_LOAD), err(anything()));
-    let nobody = choose(&[], Some(&work(1.0, 1.0)), 400.0, HARD_LOAD);
-    expect_that!(nobody, err(anything()));
+    let without_candidates = choose(&[], Some(&work(1.0, 1.0)), 400.0, HARD_LOAD);
+    expect_that!(without_candidates, err(anything()));
 }
 
 #[gtest]
--- a/crates/coursestand-routing/tests/fatal_requests/main.rs
+++ b/crates/coursestand-routing/tests/fatal_requests/main.rs
@@ -39,8 +39,8 @@
 }
 
 /// Guards against quarantining a frequent harmless request because a report that names it
-/// arrives before the one that names the fatal request. All further crashes were attributed to
-/// the harmless request, so that with these seeds the fatal one crashed 15 to 37 back ends.
+/// arrives before the one that names the fatal request. All further crashes are then attributed
+/// to the harmless request, and with these seeds the fatal one crashes 15 to 37 back ends.
 #[gtest]
 fn a_harmless_request_reported_first_is_not_quarantined_for_a_fatal_one() {
     for seed in [37, 43, 54, 83, 87, 94, 110, 175, 214, 273, 324, 350] {
@@ -106,7 +106,7 @@
 }
 
 #[gtest]
-fn without_fatal_requests_no_request_is_quarantined_whatever_crashes() {
+fn unrelated_crashes_quarantine_no_request() {
     for seed in 0..8 {
         let crashes = (1..28).map(|second| (second * 1_000, 1 + second as usize % 5));
         let scenario = Scenario {
--- a/crates/coursestand-routing/tests/fatal_requests/simulation.rs
+++ b/crates/coursestand-routing/tests/fatal_requests/simulation.rs
@@ -25,7 +25,7 @@
 const RESTART_MS: Millis = 5_000;
 const SIMULATED_MS: Millis = 30_000;
 const FATAL: u64 = 1_000;
-/// Time of the first fatal requests. By then daemons know which requests are frequent.
+/// Time of the first fatal requests. By then daemons have counted the frequent answers.
 const FATAL_FROM_MS: Millis = 3_000;
 const RARE_REQUESTS: u64 = 400;
 
@@ -197,7 +197,7 @@
 pub struct Outcome {
     /// Crashes of back ends caused by a fatal request.
     pub crashes: usize,
-    /// Harmless requests that some daemon quarantined.
+    /// Harmless requests that at least one daemon quarantined.
     pub quarantined_harmless: BTreeSet<Fingerprint>,
     pub served: usize,
     pub requested: usize,
--- a/crates/coursestand-routing/tests/fatal_requests_with_faults/main.rs
+++ b/crates/coursestand-routing/tests/fatal_requests_with_faults/main.rs
@@ -17,7 +17,7 @@
 use schedule::{Schedule, Sharing};
 use simulation::Simulation;
 
-/// Sends that are allowed after the third crash is known: the trials of the first hour.
+/// Sends that are allowed after all daemons have received the third crash: the trials of the first hour.
 const MAX_LATE_SENDS: usize = 3;
 
 fn draw_schedule(random: &mut StdRng) -> Schedule {
--- a/crates/coursestand-routing/tests/fatal_requests_with_faults/schedule.rs
+++ b/crates/coursestand-routing/tests/fatal_requests_with_faults/schedule.rs
@@ -4,8 +4,8 @@
 
 use crate::simulation::{CRASH_REPORT_MS, MAX_LATENCY_MS};
 
-/// Time until all daemons know of a crash: its detection, and the latency to control and from
-/// there to the daemons.
+/// Maximum time until the report of a crash has reached all daemons: its detection, and the
+/// latency to control and from there to the daemons.
 const MAX_PROPAGATION_MS: Millis = CRASH_REPORT_MS + 2 * MAX_LATENCY_MS;
 
 /// Information that daemons exchange.
@@ -71,14 +71,15 @@
     pub reported_crashes: Vec<Millis>,
     /// Times of the sends of the fatal request by connected daemons.
     pub sends: Vec<Millis>,
-    /// Harmless requests that some daemon rejects at the end after wasted trials.
+    /// Harmless requests that daemons reject at the end after wasted trials, summed over daemons.
     pub quarantined_harmless: usize,
     /// Highest number of quarantines of one harmless request known to any daemon at the end.
     pub max_harmless_quarantines: u32,
 }
 
 impl Outcome {
-    /// Returns the number of sends after all daemons could know of the third reported crash.
+    /// Returns the number of sends after the report of the third reported crash had had time to
+    /// reach every daemon.
     pub fn late_sends(&self) -> usize {
         let third = self.reported_crashes.get(2);
         let is_late = |at: &&Millis| third.is_some_and(|third| **at > third + MAX_PROPAGATION_MS);
--- a/crates/coursestand-routing/tests/fatal_requests_with_faults/simulation.rs
+++ b/crates/coursestand-routing/tests/fatal_requests_with_faults/simulation.rs
@@ -34,12 +34,12 @@
     incarnation: u64,
     fatal: FatalRequests,
     down_until: Millis,
-    /// The daemon is frozen until then, and messages to it wait.
+    /// Time until which it is frozen; messages to it are delayed until then.
     frozen_until: Millis,
     disconnected_until: Millis,
     /// Time from which it is connected to control.
     connected_at: Millis,
-    /// Whether both sides have sent their crash records since then.
+    /// Whether it and control have exchanged their crash records since it connected.
     has_synchronized: bool,
     has_records: bool,
 }
--- a/crates/coursestand-routing/tests/incarnations.rs
+++ b/crates/coursestand-routing/tests/incarnations.rs
@@ -1,5 +1,5 @@
 //! A back end that restarts under its identity counts as a new one in an entry daemon: the
-//! state learned of the previous incarnation, and its requests in flight, no longer count.
+//! state learned of the previous incarnation, and its requests in flight, do not count.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
--- a/crates/coursestand-routing/tests/link_wait.rs
+++ b/crates/coursestand-routing/tests/link_wait.rs
@@ -79,7 +79,7 @@
 }
 
 /// A permanently longer network path becomes the new minimum within a minute and does not
-/// count as a queue for ever.
+/// count as a queue permanently.
 #[gtest]
 fn a_longer_network_path_becomes_the_new_minimum() {
     let mut wait = two_peers();
--- a/crates/coursestand-routing/tests/rate_limits/main.rs
+++ b/crates/coursestand-routing/tests/rate_limits/main.rs
@@ -22,12 +22,12 @@
 const DEFAULT_SCHEDULES: u64 = 150;
 /// Time before the first faults, in which daemons receive the limit.
 const FAULTS_FROM_MS: Millis = 3_000;
-/// Time after which the requests that a daemon sent before it knew the limit have arrived.
+/// Time after which the requests that a daemon sent before it received the limit have arrived.
 const IN_TRANSIT_MS: Millis = 10;
 /// Time after a daemon receives the limit from which its requests are checked.
 const REACTION_MS: Millis = 500;
 const SIMULATED_MS: Millis = 120_000;
-/// Requests per second for which one daemon asks for tokens.
+/// Requests per second for which one daemon requests tokens.
 const MAX_DEMAND_PER_DAEMON: f64 = 40.0;
 const WINDOWS_S: [u64; 4] = [1, 2, 4, 10];
 /// Share of the limit that must be used if the demand is at least `MIN_DEMAND_FACTOR` times the
@@ -119,7 +119,7 @@
     later.map(|arrival| arrival.at)
 }
 
-/// Returns the violation in a run without faults, from when every daemon knows the limit.
+/// Returns the violation in a run without faults, after every daemon has received the limit.
 fn violation_without_faults(
     schedule: &Schedule,
     per_second: f64,
--- a/crates/coursestand-routing/tests/rate_limits/picks.rs
+++ b/crates/coursestand-routing/tests/rate_limits/picks.rs
@@ -73,7 +73,7 @@
     backends.note_rate(NOW, &id(number), reading);
 }
 
-fn place() -> PickerConfig {
+fn config() -> PickerConfig {
     let zones = ["near", "far"].map(|name| (ZoneId::from(name), RegionId::from(name)));
     PickerConfig {
         daemon: "edge-1".to_owned(),
@@ -110,7 +110,7 @@
         now: NOW,
     };
     let owners = OwnerViews::new(0);
-    let mut picker = Picker::new(place());
+    let mut picker = Picker::new(config());
     let picked = picker.pick(backends, &Catalog::default(), &owners, &request);
     picked.map(|pick| pick.id)
 }
@@ -173,7 +173,7 @@
     expect_that!(pick(&backends, 0, access), err(eq(&Refusal::NoBackend)));
 }
 
-/// Guards against telling callers to retry before any token is available.
+/// Guards against a retry delay that ends before any token is available.
 #[gtest]
 fn a_refusal_states_when_the_first_back_end_is_available_again() {
     let mut backends = fleet(3, 0);
--- a/crates/coursestand-routing/tests/rate_limits/schedule.rs
+++ b/crates/coursestand-routing/tests/rate_limits/schedule.rs
@@ -65,7 +65,7 @@
 /// Outcome of a simulation.
 pub struct Outcome {
     pub arrivals: Vec<Arrival>,
-    /// Time from which every daemon knew the limit.
+    /// Time at which every daemon had received the limit.
     pub known_at: Millis,
     /// Times of the requests whose first choice was the back end.
     pub requested: Vec<Millis>,
--- a/crates/coursestand-routing/tests/retry_budget/fleet.rs
+++ b/crates/coursestand-routing/tests/retry_budget/fleet.rs
@@ -213,8 +213,8 @@
         for number in 0..self.daemons.len() {
             let was_frozen = self.daemons[number].is_frozen;
             // A frozen daemon may act once more before it receives any update.
-            let acts = !was_frozen || self.draw(100);
-            if self.daemons[number].incarnation.is_none() || !acts {
+            let may_act = !was_frozen || self.draw(100);
+            if self.daemons[number].incarnation.is_none() || !may_act {
                 continue;
             }
             if !was_frozen {
--- a/crates/coursestand-routing/tests/retry_budget/main.rs
+++ b/crates/coursestand-routing/tests/retry_budget/main.rs
@@ -1,12 +1,12 @@
-//! The retries of all daemons stay within the limit of the deployment in every window, whatever
-//! daemons start, terminate or freeze, and however late they are notified of each other.
+//! The retries of all daemons stay within the limit of the deployment in every window, also
+//! when daemons start, terminate or freeze, and when they are notified late of each other.
 //!
 //! Guards against two faults that occur when entry daemons are killed and restarted at a low
 //! request rate, which led to 329 retries in a window that allowed 182: each incarnation of a
-//! daemon began with its whole share of the fixed allowance, whatever the previous one had
-//! spent (seven times the share of a daemon in one window), and the share was computed from
-//! the daemons that it knew at its first request (67 of 317 retries were granted while fewer
-//! daemons were known than were running).
+//! daemon began with its whole share of the fixed allowance, regardless of what the previous
+//! one had spent (seven times the share of a daemon in one window), and the share was computed from
+//! the daemons listed at its first request (67 of 317 retries were granted while fewer
+//! daemons were listed than were running).
 //!
 //! `COURSESTAND_RUNS` sets a larger number of runs than the default.
 #![allow(missing_docs)]
@@ -63,7 +63,7 @@
 }
 
 /// A faulty variant without a settling time: each incarnation begins with its share of the
-/// allowance, computed from the daemons that it knows.
+/// allowance, computed from the daemons that are listed.
 struct Naive {
     limits: RetryLimits,
     known_daemons: usize,
--- a/crates/coursestand-routing/tests/retry_budget/suspended.rs
+++ b/crates/coursestand-routing/tests/retry_budget/suspended.rs
@@ -114,7 +114,7 @@
         worst_window(bound, &self.arrivals, &self.requested_at)
     }
 
-    /// Renews the lease of a daemon: all daemons stay connected, and know each other.
+    /// Renews the lease of a daemon: all daemons stay connected, and list each other.
     fn renew(&mut self, now: Millis, number: usize) {
         let allowance = &mut self.daemons[number].allowance;
         allowance.renew(now);
