--- a/crates/coursestand-gateway/src/answer.rs
+++ b/crates/coursestand-gateway/src/answer.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 /// Minimum time after which a caller should retry.
-const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Maximum random addition to the retry time, so that callers do not retry all at once.
 const RETRY_AFTER_JITTER_MS: u64 = 1000;
 /// Header with the retry time in milliseconds, sent along with `Retry-After`.
@@ -42,7 +42,7 @@
     /// The once ledger can't be reached.
     NoLedger,
     /// The request ran, but its answer was not recorded.
-    AnswerNotKept,
+    AnswerNotRecorded,
 }
 
 impl Reason {
@@ -57,7 +57,7 @@
             }
             Reason::BackEnd(_) => StatusCode::BAD_GATEWAY,
             Reason::KeyTaken => StatusCode::CONFLICT,
-            Reason::AnswerNotKept => StatusCode::OK,
+            Reason::AnswerNotRecorded => StatusCode::OK,
         }
     }
 
@@ -73,7 +73,7 @@
             Reason::BackEnd(text) => text.clone(),
             Reason::KeyTaken => "a request with this key may have run".to_owned(),
             Reason::NoLedger => "the once ledger can't be reached".to_owned(),
-            Reason::AnswerNotKept => "the request ran; its answer is not kept".to_owned(),
+            Reason::AnswerNotRecorded => "the request ran; its answer is not kept".to_owned(),
         }
     }
 
@@ -178,7 +178,7 @@
         .body(body.to_string());
     if reason.is_temporary() {
         let jitter = rand::rng().random_range(0..RETRY_AFTER_JITTER_MS);
-        let after = RETRY_AFTER_MIN + Duration::from_millis(jitter);
+        let after = MIN_RETRY_AFTER + Duration::from_millis(jitter);
         let extra = response.headers_mut();
         insert(extra, "retry-after", &after.as_secs().to_string());
         insert(extra, RETRY_AFTER_MS, &after.as_millis().to_string());
--- a/crates/coursestand-gateway/src/gateway.rs
+++ b/crates/coursestand-gateway/src/gateway.rs
@@ -468,7 +468,7 @@
             headers: HeaderMap::new(),
             body: Body::from(body),
         },
-        None => Content::FromDaemon(Reason::AnswerNotKept),
+        None => Content::FromDaemon(Reason::AnswerNotRecorded),
     };
     Answer {
         outcome: Outcome::Completed,
--- a/crates/coursestand-gateway/src/http_backend.rs
+++ b/crates/coursestand-gateway/src/http_backend.rs
@@ -47,7 +47,7 @@
     }
 
     /// Drops all idle connections. Called after an answer to another request arrived on one
-    /// of them, since the others may be out of step as well.
+    /// of them, since the others may be out of sync as well.
     fn drop_connections(&self) {
         if let Ok(client) = new_client() {
             *self
--- a/crates/coursestand-gateway/src/retry_budget.rs
+++ b/crates/coursestand-gateway/src/retry_budget.rs
@@ -9,8 +9,8 @@
 /// Maximum balance: ten retries.
 const MAX_BALANCE: i64 = 10 * RETRY_COST;
 
-/// Balance of retries. It starts at zero, because a restarted daemon does not know what its
-/// previous incarnation has spent.
+/// Balance of retries. It starts at zero, because a restarted daemon has no record of what
+/// its previous incarnation has spent.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     balance: AtomicI64,
--- a/crates/coursestand-gateway/src/slot_guard.rs
+++ b/crates/coursestand-gateway/src/slot_guard.rs
@@ -15,7 +15,7 @@
 pub struct SlotGuard {
     shared: Arc<Shared>,
     ticket: Ticket,
-    /// End of the lease under which the slot was taken.
+    /// End of the lease under which the slot was acquired.
     lease_until: Millis,
     sent: Option<SentDispatch>,
 }
@@ -28,8 +28,8 @@
 }
 
 impl SlotGuard {
-    /// Guards a slot that was taken under a lease that ends at `lease_until`. Callers must
-    /// read `lease_until` before taking the slot, because a later lease may not cover it.
+    /// Guards a slot that was acquired under a lease that ends at `lease_until`. Callers must
+    /// read `lease_until` before acquiring the slot, because a later lease may not cover it.
     pub fn new(shared: Arc<Shared>, ticket: Ticket, lease_until: Millis) -> SlotGuard {
         SlotGuard {
             shared,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Returns whether a valid lease covers the slot, so that no other daemon can hold it. A lease
-    /// granted after a suspension may not cover a slot taken before it.
+    /// Returns whether a valid lease covers the slot, so that no other daemon can hold it. A
+    /// lease granted after a suspension may not cover a slot acquired before it.
     pub fn is_covered_by_lease(&self) -> bool {
         let lease = &self.shared.lease;
         if lease.is_unexpired(self.lease_until) {
--- a/crates/coursestand-gateway/tests/common/mod.rs
+++ b/crates/coursestand-gateway/tests/common/mod.rs
@@ -124,7 +124,7 @@
     tables
 }
 
-pub struct Bench {
+pub struct Fixture {
     pub gateway: Arc<Gateway>,
     pub shared: Arc<Shared>,
     pub lease: Arc<DecisionLease>,
@@ -132,17 +132,17 @@
     pub once: Arc<NaiveOnce>,
 }
 
-pub fn bench(backends: Arc<dyn BackendEdge>, once: NaiveOnce, tables: &Tables) -> Bench {
-    bench_with_clock(MonotonicClock::default(), backends, once, tables)
+pub fn fixture(backends: Arc<dyn BackendEdge>, once: NaiveOnce, tables: &Tables) -> Fixture {
+    fixture_with_clock(MonotonicClock::default(), backends, once, tables)
 }
 
-/// Returns a bench whose lease is measured on `clock`.
-pub fn bench_with_clock(
+/// Returns a fixture whose lease is measured on `clock`.
+pub fn fixture_with_clock(
     clock: MonotonicClock,
     backends: Arc<dyn BackendEdge>,
     once: NaiveOnce,
     tables: &Tables,
-) -> Bench {
+) -> Fixture {
     let lease = Arc::new(DecisionLease::new(clock));
     lease.extend(LEASE_MS);
     let shared = Arc::new(Shared::new(daemon(), Arc::clone(&lease), backends));
@@ -151,7 +151,7 @@
     let metrics = GatewayMetrics::new(&prometheus::Registry::new()).expect("metrics");
     let edge: Arc<dyn OnceEdge> = once.clone();
     let gateway = Gateway::new(daemon(), "z".into(), Arc::clone(&shared), edge, metrics);
-    Bench {
+    Fixture {
         gateway: Arc::new(gateway),
         shared,
         lease,
@@ -305,7 +305,7 @@
     builder.finish()
 }
 
-impl Bench {
+impl Fixture {
     pub async fn serve(&self, service: &str, key: Option<&str>) -> Response {
         let request = request(service, key);
         self.gateway.serve(service, &request, Body::empty()).await
--- a/crates/coursestand-gateway/tests/complete_answers.rs
+++ b/crates/coursestand-gateway/tests/complete_answers.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use common::{NaiveOnce, bench, outcome_of, request, tables};
+use common::{NaiveOnce, fixture, outcome_of, request, tables};
 use coursestand_gateway::backend_edge::{BackendEdge, Dispatch, DispatchError, RequestBody};
 use coursestand_gateway::http_backend::HttpBackends;
 use coursestand_model::Outcome;
@@ -34,7 +34,7 @@
     Shed,
 }
 
-/// Starts a back end that behaves like this on each connection. Returns its address.
+/// Starts a back end with this behaviour on each connection. Returns its address.
 async fn raw_backend(behaviour: Behaviour, body_bytes: usize) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let address = listener.local_addr().expect("an address").to_string();
@@ -84,7 +84,7 @@
     text.into_bytes()
 }
 
-/// Sends a request to such a back end. Returns the outcome, and the body if it is complete.
+/// Sends a request to a back end with this behaviour. Returns the outcome, and the body if it is complete.
 async fn send_request(
     behaviour: Behaviour,
     body_bytes: usize,
@@ -92,9 +92,9 @@
 ) -> (Outcome, Option<Vec<u8>>) {
     let address = raw_backend(behaviour, body_bytes).await;
     let backends = Arc::new(HttpBackends::new().expect("a client"));
-    let bench = bench(backends, NaiveOnce::default(), &tables(&[&address], 4));
+    let fixture = fixture(backends, NaiveOnce::default(), &tables(&[&address], 4));
     let service = if key.is_some() { "pay" } else { "page" };
-    let response = bench
+    let response = fixture
         .gateway
         .serve(service, &request(service, key), Body::empty())
         .await;
--- a/crates/coursestand-gateway/tests/outcomes.rs
+++ b/crates/coursestand-gateway/tests/outcomes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{
-    LEASE_MS, NaiveOnce, Script, ScriptedBackends, bench, bench_with_clock, daemon, outcome_of,
+    LEASE_MS, NaiveOnce, Script, ScriptedBackends, daemon, fixture, fixture_with_clock, outcome_of,
     request, tables,
 };
 use coursestand_coordination::tables::SlotMap;
@@ -60,12 +60,12 @@
                 cancel_works: true,
                 ..ScriptedBackends::default()
             });
-            let bench = bench(backends.clone(), NaiveOnce::default(), &tables(&ADDRESSES, 4));
+            let fixture = fixture(backends.clone(), NaiveOnce::default(), &tables(&ADDRESSES, 4));
             let (service, key) = if once { ("pay", Some("1000-k")) } else { ("page", None) };
             let mut outcomes = Vec::new();
             for _ in 0..=resends {
                 let before = backends.dispatched.lock().expect("lock").len();
-                let response = bench.serve(service, key).await;
+                let response = fixture.serve(service, key).await;
                 let outcome = outcome_of(&response);
                 let body = text(response).await;
                 let dispatched = backends.dispatched.lock().expect("lock").clone();
@@ -79,7 +79,7 @@
                         let is_complete = dispatched
                             .iter()
                             .any(|(script, id)| *script == Script::Answer && *id == body);
-                        prop_assert!(is_complete, "the answer {:?} is of no dispatch", body);
+                        prop_assert!(is_complete, "the answer {:?} belongs to no dispatch", body);
                         if !once {
                             prop_assert_eq!(&attempts.last().expect("dispatched").1, &body);
                         }
@@ -100,7 +100,7 @@
                 );
             }
             tokio::time::sleep(Duration::from_secs(10)).await;
-            prop_assert_eq!(bench.in_use(), 0, "every slot is released");
+            prop_assert_eq!(fixture.in_use(), 0, "every slot is released");
             Ok(())
         })?;
     }
@@ -110,12 +110,12 @@
 #[tokio::test]
 async fn without_a_lease_nothing_is_dispatched() {
     let backends = Arc::new(ScriptedBackends::default());
-    let bench = bench(
+    let fixture = fixture(
         backends.clone(),
         NaiveOnce::default(),
         &tables(&ADDRESSES, 4),
     );
-    let ungranted = coursestand_gateway::lease::DecisionLease::new(bench.clock);
+    let ungranted = coursestand_gateway::lease::DecisionLease::new(fixture.clock);
     expect_that!(ungranted.is_valid(), eq(false));
     // A gateway whose lease was never granted.
     let shared = Arc::new(coursestand_gateway::Shared::new(
@@ -191,21 +191,21 @@
         ..NaiveOnce::default()
     };
     let (clock, suspension) = MonotonicClock::with_simulated_suspensions();
-    let bench = bench_with_clock(clock, backends.clone(), once, &tables(&ADDRESSES, 4));
-    let serving = bench.serve("pay", Some("1000-k"));
+    let fixture = fixture_with_clock(clock, backends.clone(), once, &tables(&ADDRESSES, 4));
+    let serving = fixture.serve("pay", Some("1000-k"));
     let suspend_and_renew = async {
-        bench.wait_until_in_use(1).await;
+        fixture.wait_until_in_use(1).await;
         suspension.suspend_ms(2 * LEASE_MS);
         let mut updated = tables(&ADDRESSES, 4);
         updated.version = 2;
         updated.slots.set(daemon(), SlotMap::new(), 2);
-        bench.shared.steering().apply(&updated).expect("valid");
-        bench.lease.extend(bench.clock.now() + LEASE_MS);
+        fixture.shared.steering().apply(&updated).expect("valid");
+        fixture.lease.extend(fixture.clock.now() + LEASE_MS);
     };
     let (response, ()) = tokio::join!(serving, suspend_and_renew);
     expect_that!(outcome_of(&response), eq(Outcome::NotRun));
     expect_that!(backends.dispatched.lock().expect("lock").len(), eq(0));
-    expect_that!(bench.once.released.lock().expect("lock").len(), eq(1));
+    expect_that!(fixture.once.released.lock().expect("lock").len(), eq(1));
 }
 
 /// Guards against refusing a request when control reclaims its slot under a valid lease:
@@ -218,14 +218,14 @@
         delay: Duration::from_millis(120),
         ..NaiveOnce::default()
     };
-    let bench = bench(backends.clone(), once, &tables(&ADDRESSES, 4));
-    let serving = bench.serve("pay", Some("1000-k"));
+    let fixture = fixture(backends.clone(), once, &tables(&ADDRESSES, 4));
+    let serving = fixture.serve("pay", Some("1000-k"));
     let reclaim = async {
-        bench.wait_until_in_use(1).await;
+        fixture.wait_until_in_use(1).await;
         let mut updated = tables(&ADDRESSES, 4);
         updated.version = 2;
         updated.slots.set(daemon(), SlotMap::new(), 2);
-        bench.shared.steering().apply(&updated).expect("valid");
+        fixture.shared.steering().apply(&updated).expect("valid");
     };
     let (response, ()) = tokio::join!(serving, reclaim);
     expect_that!(outcome_of(&response), eq(Outcome::Completed));
@@ -240,11 +240,11 @@
         unreachable: true,
         ..NaiveOnce::default()
     };
-    let bench = bench(backends.clone(), once, &tables(&ADDRESSES, 4));
-    let response = bench.serve("pay", Some("1000-k")).await;
+    let fixture = fixture(backends.clone(), once, &tables(&ADDRESSES, 4));
+    let response = fixture.serve("pay", Some("1000-k")).await;
     expect_that!(outcome_of(&response), eq(Outcome::Unknown));
     expect_that!(backends.dispatched.lock().expect("lock").len(), eq(0));
-    expect_that!(bench.once.released.lock().expect("lock").len(), eq(1));
+    expect_that!(fixture.once.released.lock().expect("lock").len(), eq(1));
 }
 
 #[gtest]
@@ -256,14 +256,14 @@
             cancel_works,
             ..ScriptedBackends::default()
         });
-        let bench = bench(backends, NaiveOnce::default(), &tables(&ADDRESSES[..1], 1));
-        let response = bench.serve("pay", Some("1000-k")).await;
+        let fixture = fixture(backends, NaiveOnce::default(), &tables(&ADDRESSES[..1], 1));
+        let response = fixture.serve("pay", Some("1000-k")).await;
         expect_that!(outcome_of(&response), eq(Outcome::Unknown));
         tokio::time::sleep(Duration::from_millis(common::DEADLINE_MS / 2)).await;
-        let is_in_use = bench.in_use() == 1;
+        let is_in_use = fixture.in_use() == 1;
         expect_that!(is_in_use, eq(in_use_until_deadline));
         tokio::time::sleep(Duration::from_millis(common::DEADLINE_MS)).await;
-        expect_that!(bench.in_use(), eq(0));
+        expect_that!(fixture.in_use(), eq(0));
     }
 }
 
@@ -271,7 +271,7 @@
 #[tokio::test]
 async fn malformed_requests_are_rejected_with_a_reason() {
     let backends = Arc::new(ScriptedBackends::default());
-    let bench = bench(
+    let fixture = fixture(
         backends.clone(),
         NaiveOnce::default(),
         &tables(&ADDRESSES, 4),
@@ -312,7 +312,10 @@
             "longer",
         ),
     ] {
-        let response = bench.gateway.serve(service, &request, Body::empty()).await;
+        let response = fixture
+            .gateway
+            .serve(service, &request, Body::empty())
+            .await;
         expect_that!(response.status().as_u16(), eq(status));
         expect_that!(outcome_of(&response), eq(Outcome::NotRun));
         expect_that!(text(response).await, contains_substring(expected_text));
@@ -324,9 +327,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_without_a_slot_is_refused_early_with_retry_after() {
     let backends = Arc::new(ScriptedBackends::default());
-    let bench = bench(backends, NaiveOnce::default(), &tables(&ADDRESSES, 0));
+    let fixture = fixture(backends, NaiveOnce::default(), &tables(&ADDRESSES, 0));
     let started = tokio::time::Instant::now();
-    let response = bench.serve("page", None).await;
+    let response = fixture.serve("page", None).await;
     expect_that!(outcome_of(&response), eq(Outcome::NotRun));
     expect_that!(response.status(), eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(response.headers().contains_key("retry-after"), eq(true));
@@ -338,8 +341,8 @@
 #[tokio::test]
 async fn look_ups_reject_other_methods_than_get() {
     let backends = Arc::new(ScriptedBackends::default());
-    let bench = bench(backends, NaiveOnce::default(), &tables(&ADDRESSES, 4));
-    let routes = coursestand_gateway::callers::routes(bench.gateway.clone());
+    let fixture = fixture(backends, NaiveOnce::default(), &tables(&ADDRESSES, 4));
+    let routes = coursestand_gateway::callers::routes(fixture.gateway.clone());
     for (method, status) in [("GET", 200), ("DELETE", 405)] {
         let request = poem::Request::builder()
             .method(method.parse().expect("a method"))
--- a/crates/coursestand-proxy/src/answer.rs
+++ b/crates/coursestand-proxy/src/answer.rs
@@ -11,9 +11,9 @@
 
 use crate::streamed_body::StreamedBody;
 
-/// A daemon without a catalog has just started. When the whole fleet has, it takes an election
-/// of the control group and the transfer of the catalog until this daemon is ready; a caller
-/// that retries earlier is only refused again.
+/// A daemon without a catalog has just started. After a start of the whole fleet it is ready
+/// only after an election in the control group and the transfer of the catalog; a caller that
+/// retries earlier is refused again.
 const STARTING_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Time in which lost back ends return or are replaced.
 const NO_BACKEND_RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/crates/coursestand-proxy/src/caller_connections.rs
+++ b/crates/coursestand-proxy/src/caller_connections.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns the limit on caller connections by the descriptor limit of this process.
+/// Returns the limit on caller connections, derived from the descriptor limit of this process.
 pub(crate) fn max_connections_by_descriptors() -> usize {
     match getrlimit(Resource::Nofile).current {
         Some(limit) => (limit / DESCRIPTORS_PER_CALLER) as usize,
@@ -133,9 +133,9 @@
     fn note_stall(&self) {
         let now = Instant::now();
         let mut table = self.table();
-        let lasting = table.stall.filter(|stall| stall.is_recent(now));
+        let ongoing = table.stall.filter(|stall| stall.is_recent(now));
         table.stall = Some(AcceptStall {
-            since: lasting.map_or(now, |stall| stall.since),
+            since: ongoing.map_or(now, |stall| stall.since),
             noticed_at: now,
         });
     }
--- a/crates/coursestand-proxy/src/caller_limits.rs
+++ b/crates/coursestand-proxy/src/caller_limits.rs
@@ -12,8 +12,8 @@
     body_bytes: u64::MAX,
     idle: Duration::from_secs(20),
 };
-/// Minimum idle timeout, whatever the catalog sets: with none at all no caller could send a
-/// second request.
+/// Minimum idle timeout, also if the catalog sets a shorter one: with a timeout of zero, no
+/// caller could send a second request on a connection.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes of a header line besides its name and value.
 const LINE_OVERHEAD_BYTES: usize = 4;
--- a/crates/coursestand-proxy/src/crash_detector.rs
+++ b/crates/coursestand-proxy/src/crash_detector.rs
@@ -1,9 +1,9 @@
 //! Distinguishes the crash of a back end from the loss of one connection.
 //!
 //! A single connection may break: its answer is lost, or a middlebox resets it. So after the
-//! first broken connection this daemon connects again. Only when that is refused has the back
-//! end crashed, and the requests on connections that broke in the meantime were in flight at
-//! the crash.
+//! first broken connection this daemon connects again. Only if that is refused does the back
+//! end count as crashed, and the requests on connections that broke in the meantime were in
+//! flight at the crash.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,8 +16,9 @@
 use crate::phases::{RequestPhases, Target};
 use crate::pool::Pool;
 
-/// Longest wait for the connection to be accepted or refused. A machine without power does not
-/// answer, and its failure stops more back ends than a single request would.
+/// Longest wait for the connection to be accepted or refused. A machine that lost power
+/// does not answer; its failure is not attributed to a request, since it stops more back ends
+/// than a single request would.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Back ends that are being probed after a broken connection, with the requests that were in
--- a/crates/coursestand-proxy/src/edge_state.rs
+++ b/crates/coursestand-proxy/src/edge_state.rs
@@ -100,12 +100,12 @@
 }
 
 impl EdgeState {
-    /// Creates the state of a daemon at `place`, without catalog or back ends.
-    pub fn new(clock: MonotonicClock, place: PickerConfig, bounds: EdgeBounds) -> EdgeState {
-        let daemons = BTreeSet::from([place.daemon.clone()]);
-        let own_hash = hash_of(&place.daemon);
+    /// Creates the state of a daemon with picker settings `config`, without catalog or back ends.
+    pub fn new(clock: MonotonicClock, config: PickerConfig, bounds: EdgeBounds) -> EdgeState {
+        let daemons = BTreeSet::from([config.daemon.clone()]);
+        let own_hash = hash_of(&config.daemon);
         let owners = OwnerViews::new(bounds.hand_over_ms);
-        let allowance = RetryAllowance::new(&place.daemon, bounds.retries, bounds.hand_over_ms);
+        let allowance = RetryAllowance::new(&config.daemon, bounds.retries, bounds.hand_over_ms);
         EdgeState {
             clock,
             bounds,
@@ -113,7 +113,7 @@
                 catalog: Catalog::default(),
                 routes: Arc::default(),
                 backends: Backends::default(),
-                picker: Picker::new(place),
+                picker: Picker::new(config),
                 daemons,
                 owners,
                 budgets: HashMap::new(),
@@ -140,9 +140,9 @@
         &self.bounds
     }
 
-    /// Locks the routing state. The lock must not be held across an await point or while any
-    /// other lock is taken: the follower takes it while it holds its own lock on the state of
-    /// control.
+    /// Locks the routing state. The guard must not be held across an await point, and no other
+    /// lock may be acquired while it is held: the follower acquires it while holding its lock
+    /// on the state of control.
     pub fn routing(&self) -> MutexGuard<'_, RoutingState> {
         self.routing.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -312,11 +312,11 @@
             let is_confirmed = routing
                 .limit_reports
                 .record(update.backend, update.reporter);
-            let named_at = now.saturating_sub(update.age_ms);
+            let reported_at = now.saturating_sub(update.age_ms);
             if is_confirmed
                 && routing
                     .backends
-                    .note_remote_rate(named_at, update.backend, rate)
+                    .note_remote_rate(reported_at, update.backend, rate)
                     .is_some()
             {
                 let backend = routing.backends.find_incarnation(update.backend);
@@ -333,19 +333,19 @@
         let Some(answered) = self.tokens.answered(from, number) else {
             return;
         };
-        let asked_at = answered.request.sent_at;
+        let requested_at = answered.request.sent_at;
         let token_request = &answered.request.request;
         let backend = token_request.backend;
         match verdict {
             TokenVerdict::Issued => {}
             TokenVerdict::Denied { again_in_ms, .. } => {
                 let backends = &mut self.routing().backends;
-                backends.note_denied(asked_at, backend, *again_in_ms, token_request.priority);
+                backends.note_denied(requested_at, backend, *again_in_ms, token_request.priority);
             }
             TokenVerdict::Lifted { age_ms } => {
                 // Uses the time of the token request: the limit was lifted by then at the
                 // latest.
-                let lifted_at = asked_at.saturating_sub(*age_ms);
+                let lifted_at = requested_at.saturating_sub(*age_ms);
                 let mut routing = self.routing();
                 routing.limit_reports.forget(backend);
                 let change = routing
--- a/crates/coursestand-proxy/src/exchange/attempt.rs
+++ b/crates/coursestand-proxy/src/exchange/attempt.rs
@@ -25,7 +25,7 @@
 
 /// Divisor of the time left that gives the limit for connecting.
 const CONNECT_TIME_DIVISOR: u32 = 3;
-/// A back end stops at the deadline; its answer needs a moment to arrive.
+/// Time for an answer to arrive that the back end sent at the deadline.
 const ANSWER_GRACE: Duration = Duration::from_millis(80);
 
 /// Result of sending a request on a connection.
@@ -116,8 +116,8 @@
             Verdict::Misdirected => Err(failure(AttemptFailure::Misdirected)),
             _ => {
                 self.phases.answered(target, &metadata.report);
-                let failed = received.status.is_server_error();
-                if failed && prepared.matched.route.route.kind.is_repeatable() {
+                let is_server_error = received.status.is_server_error();
+                if is_server_error && prepared.matched.route.route.kind.is_repeatable() {
                     return Err(FailedAttempt {
                         answer: Some(Box::new(received)),
                         ..failure(AttemptFailure::Failed)
--- a/crates/coursestand-proxy/src/exchange/mod.rs
+++ b/crates/coursestand-proxy/src/exchange/mod.rs
@@ -37,8 +37,8 @@
 
 const LOG: &str = "proxy";
 /// Upper bound on the retry delay of a request that was queued for longer than its timeout;
-/// the admission control uses the same bound. A process that was suspended for longer is fast
-/// again at once.
+/// the admission control uses the same bound. A process that was suspended for longer
+/// works at full speed as soon as it resumes.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// How long a request waits for control to grant a trial.
@@ -129,9 +129,9 @@
 
     /// Returns whether the same back end, for which the request's object is warm, may get the
     /// request again: it refused although it reports that no request waits there, the
-    /// connection failed rather than the back end, or nothing was sent. A back-off excludes
-    /// the back end by itself, and its end is when a request that finds no other back end may
-    /// be retried.
+    /// connection failed rather than the back end, or nothing was sent. A back end
+    /// that asked for a back-off need not be excluded here: the back-off excludes it, and the
+    /// end of the back-off is the retry time for a request that finds no other back end.
     fn may_retry_same_backend(&self) -> bool {
         match self.failure {
             AttemptFailure::Shed => {
@@ -162,7 +162,8 @@
     }
 }
 
-/// An attempt in progress: the back end counts as having the request until this is dropped.
+/// An attempt in progress: the request counts as in flight at the back end until this is
+/// dropped.
 struct ActiveAttempt {
     phases: Arc<dyn RequestPhases>,
     target: Target,
@@ -223,7 +224,7 @@
     /// The time that the request was queued before it was read counts against `limit`.
     /// Otherwise, behind a queue of 0.6 s on the link, every request that reaches its timeout
     /// of 1 s would be answered 0.68 s late; with it, at most half a second late. A request
-    /// whose time was over when it was read is refused, since no caller waits for it
+    /// whose timeout had passed when it was read is refused, since no caller waits for it
     /// (`coursestand-daemon/tests/following/late_requests.rs`).
     fn deadline_of(&self, arrival: Arrival, limit: Duration) -> Result<Instant, Reason> {
         if limit <= arrival.waited {
@@ -395,7 +396,7 @@
         let mut attempts = Attempts::default();
         request_log.matched(&prepared.matched);
         if let Some(answer) = self.phases.ask_for_trial(&prepared.matched) {
-            // Without an answer in time the request is refused as it would be without asking.
+            // If no answer arrives in time, the request is refused as if no trial had been requested.
             let _ = timeout(TRIAL_WAIT.min(prepared.time_left()), answer).await;
         }
         loop {
--- a/crates/coursestand-proxy/src/phases.rs
+++ b/crates/coursestand-proxy/src/phases.rs
@@ -1,6 +1,6 @@
 //! The phases of a request, in order. A deployment's rules are one implementation of
-//! [`RequestPhases`]; the exchange calls them and does the I/O between them, so that no rule
-//! ever waits or uses a socket.
+//! [`RequestPhases`]; the exchange calls them and does the I/O between them, so that an
+//! implementation never blocks or uses a socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -236,7 +236,8 @@
     /// a rate limit. An issued token is passed to [`Self::choose`] with the attempts.
     fn ask_for_token(&self, matched: &Matched, attempts: &Attempts) -> Option<PendingToken>;
 
-    /// Chooses a back end. It counts as having the request until [`Self::finished`] is called.
+    /// Chooses a back end. The request counts as in flight there until [`Self::finished`] is
+    /// called.
     fn choose(&self, matched: &Matched, attempts: &Attempts) -> Result<Target, Reason>;
 
     /// Returns whether the request may still be sent to the chosen back end: connecting takes
@@ -255,10 +256,11 @@
     fn failed(&self, target: &Target, failure: AttemptFailure, report: &BackendReport);
 
     /// Called when the back end crashed: connections to it broke, and its address refuses new
-    /// ones. The requests that were in flight there are passed along.
-    fn crashed(&self, target: &Target, witnesses: Vec<Fingerprint>);
+    /// ones. `in_flight_requests` are those that were in flight there.
+    fn crashed(&self, target: &Target, in_flight_requests: Vec<Fingerprint>);
 
-    /// Called when the back end no longer has the request, as far as this daemon can tell.
+    /// Called when the attempt has ended, so that the request stops counting as in flight at the
+    /// back end.
     fn finished(&self, target: &Target, ending: AttemptEnding);
 
     /// Decides whether the request may be sent again after `failure`, with `time_left` until its
--- a/crates/coursestand-proxy/src/prepared_body.rs
+++ b/crates/coursestand-proxy/src/prepared_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request while it waits for its attempts.
+//! Request bodies, buffered for several attempts or streamed in one.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -14,7 +14,7 @@
 use crate::pool::RequestBody;
 use crate::streamed_request_body::StreamedRequestBody;
 
-/// A request body between its caller and its back end.
+/// The body of a request that is to be sent to a back end.
 pub(crate) enum PreparedBody {
     /// Buffered completely, and can be sent again.
     Buffered(Bytes),
--- a/crates/coursestand-proxy/src/router.rs
+++ b/crates/coursestand-proxy/src/router.rs
@@ -77,7 +77,7 @@
 
     /// Returns whether control can be asked for tokens. A daemon without control uses its own
     /// share of the rate limit.
-    fn can_issue_tokens(&self, routing: &RoutingState, now: Millis) -> bool {
+    fn can_request_tokens(&self, routing: &RoutingState, now: Millis) -> bool {
         routing.owners.current().is_some() && !self.state.tokens().is_silent(now)
     }
 
@@ -96,10 +96,10 @@
             daemon: routing.fatal.own_hash(),
             daemons,
         };
-        let is_alone = !self.can_issue_tokens(routing, now);
+        let needs_fallback = !self.can_request_tokens(routing, now);
         let mode = AccessMode::Send {
             token: attempts.token,
-            fallback_share: is_alone.then_some(fallback_share),
+            fallback_share: needs_fallback.then_some(fallback_share),
         };
         LimitAccess { daemons, mode }
     }
@@ -134,7 +134,7 @@
     }
 
     /// Refuses a request that is suspected to crash back ends, unless it may run at this
-    /// daemon.
+    /// daemon, and logs the decision.
     fn check_suspect(
         &self,
         routing: &RoutingState,
@@ -183,7 +183,7 @@
     }
 }
 
-/// Returns whether a request that may have crashed back ends is sent.
+/// Returns why a request that may have crashed back ends is refused, or `Ok` if it may be sent.
 fn suspect_verdict(
     routing: &RoutingState,
     now: Millis,
@@ -191,7 +191,7 @@
     attempts: &Attempts,
 ) -> Result<(), Reason> {
     // The request may have crashed the back end, and other daemons may have a crash record of
-    // it already.
+    // it that this daemon has not received.
     if !attempts.broken_backends.is_empty() && !routing.is_synced {
         let again_in_ms = SYNC_RETRY_DELAY_MS;
         return Err(Reason::Suspected { again_in_ms });
@@ -255,8 +255,8 @@
     Some(token.map_or(now + TOKEN_LIFETIME_MS, |token| token.valid_until))
 }
 
-/// Returns whether the rate limit of the back end, which may be newer than the choice, still
-/// allows the request.
+/// Returns whether the rate limit of the back end still allows the request. The limit may have
+/// been reported after the back end was chosen.
 fn is_admitted(backend: &Backend, now: Millis, target: &Target) -> bool {
     let is_in_time = target.admitted_until.is_some_and(|until| now <= until);
     backend.limit().is_none() || is_in_time
--- a/crates/coursestand-proxy/src/server.rs
+++ b/crates/coursestand-proxy/src/server.rs
@@ -80,7 +80,7 @@
             .await
             .context(ListenSnafu { address })?;
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        let (mode, watching) = watch::channel(Mode::Serving);
+        let (mode, mode_receiver) = watch::channel(Mode::Serving);
         let (connection_alive, connections_closed) = mpsc::channel(1);
         let tasks = Arc::new(Tasks::default());
         let caller_connections = Arc::new(CallerConnections::new(max_connections));
@@ -91,7 +91,7 @@
             connection_alive,
             tasks: Arc::clone(&tasks),
         };
-        tasks.start(acceptor.accept(watching));
+        tasks.start(acceptor.accept(mode_receiver));
         Ok(ProxyServer {
             address,
             mode,
@@ -198,7 +198,7 @@
             // Yields so that the connection is read once more before anything is forwarded: if
             // the caller closed the connection while the daemon was suspended, the close
             // follows the request in the socket buffer, and no back end then works on a
-            // request that nobody waits for. Costs one scheduling turn of the task.
+            // request whose caller has disconnected. Costs one scheduling turn of the task.
             tokio::task::yield_now().await;
             let mut response = exchange.serve(request).await;
             if *mode.borrow() != Mode::Serving {
--- a/crates/coursestand-proxy/src/smoothed_time.rs
+++ b/crates/coursestand-proxy/src/smoothed_time.rs
@@ -1,5 +1,5 @@
-//! A smoothed duration with its deviation, and a limit above both that usual durations stay
-//! below.
+//! A smoothed duration with its mean deviation, and an upper limit on usual durations that is
+//! derived from both.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub(crate) struct SmoothedTime {
     time: f64,
     deviation: f64,
-    /// Shortest duration, taken as one without queueing.
+    /// Shortest duration, assumed to be free of queueing delay.
     shortest: f64,
 }
 
--- a/crates/coursestand-proxy/src/tokens.rs
+++ b/crates/coursestand-proxy/src/tokens.rs
@@ -14,6 +14,7 @@
 
 /// Messages queued for a slow connection to control; further ones replace the oldest.
 const MESSAGE_QUEUE_LENGTH: usize = 64;
+
 /// A message to control about rate limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RateLimitMessage {
@@ -162,12 +163,12 @@
     }
 }
 
-/// Converts a verdict on `asked` to the answer for the waiting request.
-pub(crate) fn answer_of(verdict: &TokenVerdict, asked: &SentTokenRequest) -> TokenAnswer {
+/// Converts a verdict on `sent` to the answer for the waiting request.
+pub(crate) fn answer_of(verdict: &TokenVerdict, sent: &SentTokenRequest) -> TokenAnswer {
     match verdict {
         TokenVerdict::Issued => TokenAnswer::Issued(SendToken {
-            backend: asked.request.backend,
-            valid_until: asked.sent_at + TOKEN_LIFETIME_MS,
+            backend: sent.request.backend,
+            valid_until: sent.sent_at + TOKEN_LIFETIME_MS,
         }),
         TokenVerdict::Denied { again_in_ms, rate } => TokenAnswer::Denied {
             again_in_ms: *again_in_ms,
--- a/crates/coursestand-proxy/src/verdict.rs
+++ b/crates/coursestand-proxy/src/verdict.rs
@@ -49,7 +49,9 @@
         return Verdict::Shed;
     }
     if STATUSES_THAT_PROMISE_NOT_RUN.contains(&status) {
-        return Verdict::Foreign("a status that promises no run, without confirmation");
+        return Verdict::Foreign(
+            "a status that promises that the request was not run, without confirmation",
+        );
     }
     if headers.contains_key(CONTENT_ENCODING) {
         return Verdict::Foreign("an unrequested content encoding");
--- a/crates/coursestand-proxy/tests/answers.rs
+++ b/crates/coursestand-proxy/tests/answers.rs
@@ -29,7 +29,7 @@
     ]
 }
 
-/// Whether a caller received a success that is not the answer to its request.
+/// Returns whether a caller received a success that is not the answer to its request.
 fn is_wrong_answer(answer: &Answer, id: &str) -> bool {
     let is_success = (200..300).contains(&answer.status);
     let is_correct = answer.is_complete
--- a/crates/coursestand-proxy/tests/attempts.rs
+++ b/crates/coursestand-proxy/tests/attempts.rs
@@ -79,7 +79,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_request_that_must_not_be_repeated_runs_once_whatever_fails() {
+async fn a_request_that_must_not_be_repeated_runs_once_after_any_failure() {
     for behaviour in ambiguous_failures() {
         let scripts = vec![(vec![], behaviour.clone()), (vec![], behaviour.clone())];
         let edge = Edge::start(RouteSettings::default(), scripts).await;
@@ -95,7 +95,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn when_every_retry_is_granted_it_runs_twice() {
+async fn a_request_runs_more_than_once_when_every_retry_is_granted() {
     let scripts = vec![
         (vec![], Behaviour::CloseWithoutAnswer),
         (vec![], Behaviour::CloseWithoutAnswer),
@@ -318,7 +318,7 @@
     }
 }
 
-/// Number of retry decisions for the service with this label.
+/// Returns the number of retry decisions for the service with this label.
 fn counted_decisions(edge: &Edge, verdict: &str) -> u64 {
     let metrics = edge.exchange.metrics();
     let labels = ["s", verdict];
@@ -342,11 +342,11 @@
     expect_that!(counted_decisions(&edge, "attempts-spent"), eq(1));
     edge.request("/once/a", "r2").await;
     expect_that!(counted_decisions(&edge, "may-have-run"), eq(1));
-    let poor = RouteSettings {
+    let without_budget = RouteSettings {
         retry_ratio: 0.0,
         ..RouteSettings::default()
     };
-    let edge = Edge::start(poor, scripts()).await;
+    let edge = Edge::start(without_budget, scripts()).await;
     edge.request("/safe/a", "r3").await;
     expect_that!(counted_decisions(&edge, "paid"), eq(0));
     expect_that!(counted_decisions(&edge, "budget-spent"), eq(1));
--- a/crates/coursestand-proxy/tests/backoff.rs
+++ b/crates/coursestand-proxy/tests/backoff.rs
@@ -36,7 +36,7 @@
 const BACKOFF: Duration = Duration::from_secs(2);
 /// Pause between two requests of a test.
 const PAUSE: Duration = Duration::from_millis(10);
-/// Upper bound for an immediate refusal, far below any time-out.
+/// Upper bound for an immediate refusal, far below any timeout.
 const REFUSED_WITHIN: Duration = Duration::from_millis(200);
 
 fn retry_after_seconds(answer: &Answer) -> Option<f64> {
@@ -113,7 +113,7 @@
         let answer = request(&edge, "/safe/a", &format!("r{number}")).await;
         expect_that!(started.elapsed(), le(REFUSED_WITHIN));
         expect_that!(answer.status, eq(503));
-        // The earliest end of a back-off, plus jitter so that callers don't return at once.
+        // The earliest end of a back-off, plus jitter so that callers do not all retry together.
         expect_that!(retry_after_seconds(&answer), some(all![gt(1.0), lt(4.0)]));
     }
     expect_that!(edge.arrival_count(), eq(before));
@@ -211,9 +211,9 @@
         matched: &Matched,
         attempts: &Attempts,
         failure: AttemptFailure,
-        left: Duration,
+        time_left: Duration,
     ) -> RetryVerdict {
-        self.router.may_retry(matched, attempts, failure, left)
+        self.router.may_retry(matched, attempts, failure, time_left)
     }
 }
 
--- a/crates/coursestand-proxy/tests/callers_that_leave.rs
+++ b/crates/coursestand-proxy/tests/callers_that_leave.rs
@@ -146,7 +146,7 @@
     }
     pause(200).await;
     let before = edge.arrival_count();
-    // The others wait for a connection to the full listener; after the connect time-out they
+    // The others wait for a connection to the full listener; after the connect timeout they
     // would go to the other back end.
     expect_that!(before, lt(6));
     drop(callers);
--- a/crates/coursestand-proxy/tests/common/mod.rs
+++ b/crates/coursestand-proxy/tests/common/mod.rs
@@ -34,7 +34,7 @@
 pub const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Longer than any step of a test should take.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Far below the time-out of idle connections.
+/// Far below the timeout of idle connections.
 const LATE_CALLER_TIMEOUT: Duration = Duration::from_secs(8);
 
 pub struct Edge {
@@ -50,7 +50,7 @@
     pub max_attempts: u32,
     pub timeout_ms: u64,
     pub target_latency_ms: u64,
-    /// Retries that the bound allows per request; requests earn half of them.
+    /// Upper bound of retries per request; each request earns half of this.
     pub retry_ratio: f64,
 }
 
@@ -320,7 +320,7 @@
     pub async fn receive(&mut self) -> Answer {
         tokio::time::timeout(TEST_TIMEOUT, self.read_answer())
             .await
-            .expect("no answer and no end of the connection within the time-out")
+            .expect("no answer and no end of the connection within the timeout")
     }
 
     async fn read_more(&mut self) -> bool {
--- a/crates/coursestand-proxy/tests/connect_times.rs
+++ b/crates/coursestand-proxy/tests/connect_times.rs
@@ -1,4 +1,4 @@
-//! The time-out for connecting adapts to the round-trip time of each zone.
+//! The timeout for connecting adapts to the round-trip time of each zone.
 #![allow(missing_docs)]
 
 use std::time::Duration;
--- a/crates/coursestand-proxy/tests/fatal_requests.rs
+++ b/crates/coursestand-proxy/tests/fatal_requests.rs
@@ -16,7 +16,7 @@
 use googletest::prelude::*;
 
 const BACKENDS: usize = 14;
-/// Back ends that one such request may crash.
+/// Maximum number of back ends that a fatal request may crash.
 const MAX_CRASHES: usize = 6;
 const PAUSE: Duration = Duration::from_millis(20);
 
--- a/crates/coursestand-proxy/tests/local_answers.rs
+++ b/crates/coursestand-proxy/tests/local_answers.rs
@@ -55,7 +55,7 @@
 struct Scenario {
     settings: RouteSettings,
     scripts: Vec<(Vec<Behaviour>, Behaviour)>,
-    dead: usize,
+    dead_backends: usize,
     path: &'static str,
     body: usize,
 }
@@ -77,7 +77,7 @@
             ..RouteSettings::default()
         },
         scripts,
-        dead: random.random_range(0..=4),
+        dead_backends: random.random_range(0..=4),
         path: ["/safe/a", "/once/a"][random.random_range(0..2)],
         body: [0, 100, LONG_BODY][random.random_range(0..3)],
     }
@@ -90,7 +90,7 @@
         let scenario = random_scenario(seed);
         let description = format!("seed {seed}: {:?} to {}", scenario.scripts, scenario.path);
         let edge = Edge::start(scenario.settings, scenario.scripts).await;
-        for number in 0..scenario.dead {
+        for number in 0..scenario.dead_backends {
             let ready = instance_update(10 + number, dead_address(), InstancePhase::Ready);
             edge.state.adopt_instances(vec![ready]);
         }
--- a/crates/coursestand-proxy/tests/rate_limits.rs
+++ b/crates/coursestand-proxy/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Requests of one daemon to back ends that report a rate limit; the test stands in for the
+//! Requests of one daemon to back ends that report a rate limit; the test acts as the
 //! control process that issues tokens.
 #![allow(missing_docs)]
 
@@ -21,14 +21,14 @@
 const LIMITED: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 5\r\n");
 const LOW_LIMIT: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 0.2\r\n");
 const GOOD: Behaviour = Behaviour::Answer(200);
-/// Upper bound for an immediate refusal, far below any time-out.
+/// Upper bound for an immediate refusal, far below any timeout.
 const REFUSED_WITHIN: Duration = Duration::from_millis(300);
 
 fn control() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// Answers requests for tokens as the leading control process does.
+/// Answers token requests as the leading control process does.
 fn issue_tokens(state: &Arc<EdgeState>) -> JoinHandle<()> {
     state.set_following(true);
     let mut messages = state.rate_limit_messages();
@@ -139,7 +139,7 @@
         request_for(&edge, "before", Duration::from_millis(500)).await;
         let before = edge.backends[0].arrival_count();
         request_for(&edge, "after", Duration::from_secs(4)).await;
-        // All daemons together may send two a second; this one knows no other.
+        // All daemons together may send two a second, and no other daemon is listed.
         let arrived = edge.backends[0].arrival_count() - before;
         expect_that!(arrived, all![ge(1), le(9)], "following: {is_following}");
     }
--- a/crates/coursestand-proxy/tests/serving.rs
+++ b/crates/coursestand-proxy/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Answers that a daemon gives by itself, body limits, and planned stops.
+//! Local answers of a daemon, body limits, and planned stops.
 #![allow(missing_docs)]
 
 mod common;
@@ -101,7 +101,7 @@
         while edge.arrival_count() == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        // The process ends long before the route's time-out of a minute. Without the stop
+        // The process ends long before the route's timeout of a minute. Without the stop
         // time the connection of the request would be closed without an answer.
         let close_timeout = if has_stop_time {
             TEST_TIMEOUT
--- a/crates/coursestand-proxy/tests/silent_connections.rs
+++ b/crates/coursestand-proxy/tests/silent_connections.rs
@@ -18,7 +18,7 @@
 const GOOD: Behaviour = Behaviour::Answer(200);
 /// Longer than the time within which a silent connection must be detected.
 const TIMEOUT: Duration = Duration::from_secs(4);
-/// A request is retried after half of its time-out at the latest, on an idle machine after
+/// A request is retried after half of its timeout at the latest, on an idle machine after
 /// half a second; the remainder is for the answer.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(2_500);
 
@@ -58,9 +58,9 @@
         Fleet::start(settings(), vec![(vec![], GOOD)]).await
     }
 
-    fn silence(&self, carriage: Forwarding) {
+    fn silence(&self, forwarding: Forwarding) {
         for relay in &self.relays {
-            relay.restrict_open_connections(carriage);
+            relay.restrict_open_connections(forwarding);
         }
     }
 
@@ -68,7 +68,7 @@
         self.relays.iter().map(SilentRelay::connections).sum()
     }
 
-    /// Number of requests that were retried because a connection was silent.
+    /// Returns the number of requests that were retried because a connection was silent.
     fn silent_failures(&self) -> u64 {
         let failures = &self.edge.exchange.metrics().failures;
         failures.with_label_values(&["silent"]).get()
@@ -118,8 +118,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn silent_pooled_connections_cost_one_retry_and_no_deadline() {
-    for carriage in [
+async fn silent_pooled_connections_cost_one_retry_and_exceed_no_deadline() {
+    for forwarding in [
         Forwarding::Discard,
         Forwarding::RequestsOnly,
         Forwarding::DropSegments,
@@ -128,16 +128,16 @@
         fleet.request_concurrently("/safe/a", "warm", 4).await;
         settle().await;
         expect_that!(fleet.connections(), ge(3));
-        fleet.silence(carriage);
+        fleet.silence(forwarding);
         settle().await;
         let (answer, took) = fleet.request("/safe/a", "first").await;
-        expect_that!(answer.status, eq(200), "{carriage:?}");
-        expect_that!(took, lt(ANSWERED_WITHIN), "{carriage:?}");
+        expect_that!(answer.status, eq(200), "{forwarding:?}");
+        expect_that!(took, lt(ANSWERED_WITHIN), "{forwarding:?}");
         for number in 0..4 {
             let (answer, _) = fleet.request("/safe/a", &format!("later{number}")).await;
-            expect_that!(answer.status, eq(200), "{carriage:?}");
+            expect_that!(answer.status, eq(200), "{forwarding:?}");
         }
-        expect_that!(fleet.silent_failures(), eq(1), "{carriage:?}");
+        expect_that!(fleet.silent_failures(), eq(1), "{forwarding:?}");
     }
 }
 
@@ -182,7 +182,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_request_that_must_not_be_repeated_runs_at_most_once_on_a_silent_connection() {
-    for (carriage, runs) in [
+    for (forwarding, runs) in [
         (Forwarding::Discard, 0),
         (Forwarding::RequestsOnly, 1),
         (Forwarding::DropSegments, 0),
@@ -198,16 +198,16 @@
         fleet.request_concurrently("/once/a", "warm", 3).await;
         fleet.request_concurrently("/safe/a", "warmed", 3).await;
         settle().await;
-        fleet.silence(carriage);
+        fleet.silence(forwarding);
         settle().await;
         let (answer, _) = fleet.request("/once/a", "lost").await;
-        expect_that!(fleet.runs_of("lost"), eq(runs), "{carriage:?}");
-        expect_that!(answer.status, any![eq(502), eq(504)], "{carriage:?}");
+        expect_that!(fleet.runs_of("lost"), eq(runs), "{forwarding:?}");
+        expect_that!(answer.status, any![eq(502), eq(504)], "{forwarding:?}");
         expect_that!(NOT_RUN_STATUSES.contains(&answer.status), eq(false));
         // The other pooled connections were closed after this failure.
         for number in 0..3 {
             let (answer, _) = fleet.request("/once/a", &format!("later{number}")).await;
-            expect_that!(answer.status, eq(200), "{carriage:?}");
+            expect_that!(answer.status, eq(200), "{forwarding:?}");
         }
     }
 }
--- a/crates/coursestand-proxy/tests/unread_headers.rs
+++ b/crates/coursestand-proxy/tests/unread_headers.rs
@@ -1,4 +1,4 @@
-//! Headers in answers of back ends that the daemon doesn't know are counted, so that
+//! Headers in answers of back ends that the daemon does not read are counted, so that
 //! operators notice them.
 #![allow(missing_docs)]
 
@@ -13,7 +13,7 @@
 /// Guards against headers that the daemon ignores without showing them to operators.
 #[gtest]
 #[tokio::test]
-async fn an_unknown_header_is_counted_by_its_name() {
+async fn an_unread_header_is_counted_by_its_name() {
     let scripts = vec![(vec![], Behaviour::AnswerWithHeaders(200, LINES))];
     let edge = Edge::start(RouteSettings::default(), scripts).await;
     for number in 0..3 {
--- a/crates/coursestand-proxy/tests/untrusted_figures.rs
+++ b/crates/coursestand-proxy/tests/untrusted_figures.rs
@@ -1,4 +1,4 @@
-//! Numbers of back ends and operators that are out of the range of clocks and counters.
+//! Numbers from back ends and operators that exceed the range of clocks and counters.
 #![allow(missing_docs)]
 
 use std::time::Duration;
