--- a/crates/coursestand-gateway/src/backend_edge.rs
+++ b/crates/coursestand-gateway/src/backend_edge.rs
@@ -78,7 +78,7 @@
     pub epoch: u64,
     /// Whether it accepts new requests.
     pub state: BackendState,
-    /// Number of running requests. The figure lags and may be wrong.
+    /// Number of running requests. The count may be outdated or wrong.
     pub running: u32,
 }
 
