--- a/crates/coursestand-kernel/src/logging/queue.rs
+++ b/crates/coursestand-kernel/src/logging/queue.rs
@@ -109,7 +109,7 @@
         while let Ok(first) = self.queue.recv() {
             if self.write_batch(first).is_err() {
                 // The output is closed. Later lines are dropped, because the queue's
-                // receiver goes away.
+                // receiver is dropped.
                 return;
             }
             std::thread::sleep(WRITE_INTERVAL);
--- a/crates/coursestand-kernel/src/service.rs
+++ b/crates/coursestand-kernel/src/service.rs
@@ -42,7 +42,7 @@
     },
 }
 
-/// A component of a process with a life cycle.
+/// A component of a process with a lifecycle.
 #[async_trait]
 pub trait Service: Send + Sync {
     /// Returns the fixed name, unique within the process.
