--- a/crates/coursestand-discovery/src/claims.rs
+++ b/crates/coursestand-discovery/src/claims.rs
@@ -36,7 +36,7 @@
 /// Occupancy of a claimed address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AddressState {
-    /// A live instance, last heard from at this time, has the address.
+    /// A live instance, with its last contact at this time, has the address.
     Held { last_contact_at: Millis },
     /// No live instance has had the address since this time.
     Free { since: Millis },
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Removes all claims to an address whose holder was heard from; claimants start over.
+    /// Removes all claims to an address after contact with its holder; claimants start over.
     pub(crate) fn reject_claims_to(&mut self, address: SocketAddr) {
         self.claims
             .retain(|_, claim| claim.update.instance.address != address);
--- a/crates/coursestand-discovery/src/directory.rs
+++ b/crates/coursestand-discovery/src/directory.rs
@@ -92,15 +92,15 @@
     /// Records that `observer` is connected with this incarnation of the daemon, and with
     /// no other of the same name. Returns whether anything changed.
     pub fn connect(&mut self, observer: Observer, record: &EdgeRecord) -> bool {
-        let incarnation = (record.name.clone(), record.incarnation);
+        let key = (record.name.clone(), record.incarnation);
         for (other, entry) in &mut self.edges {
-            if other.0 == incarnation.0 && *other != incarnation {
+            if other.0 == key.0 && *other != key {
                 entry.observers.remove(&observer);
             }
         }
         self.edges.retain(|_, entry| !entry.observers.is_empty());
-        self.suspects.retain(|other, _| other.0 != incarnation.0);
-        let entry = self.edges.entry(incarnation).or_insert_with(|| Entry {
+        self.suspects.retain(|other, _| other.0 != key.0);
+        let entry = self.edges.entry(key).or_insert_with(|| Entry {
             record: record.clone(),
             link_use: None,
             observers: BTreeSet::new(),
@@ -117,13 +117,13 @@
     /// Records that `observer` lost its connection with that incarnation of the daemon.
     /// Returns whether anything changed.
     pub fn disconnect(&mut self, observer: Observer, name: &str, incarnation: u64) -> bool {
-        let edge = (name.to_owned(), incarnation);
-        let Some(entry) = self.edges.get_mut(&edge) else {
+        let key = (name.to_owned(), incarnation);
+        let Some(entry) = self.edges.get_mut(&key) else {
             return false;
         };
         let is_changed = entry.observers.remove(&observer);
         if entry.observers.is_empty() {
-            self.edges.remove(&edge);
+            self.edges.remove(&key);
         }
         is_changed
     }
@@ -135,8 +135,8 @@
         if record.phase != EdgePhase::Ready {
             return;
         }
-        let incarnation = (record.name.clone(), record.incarnation);
-        self.suspects.entry(incarnation).or_insert_with(|| Suspect {
+        let key = (record.name.clone(), record.incarnation);
+        self.suspects.entry(key).or_insert_with(|| Suspect {
             record: record.clone(),
             since: now,
             reachable_until: now,
@@ -145,8 +145,8 @@
 
     /// Records that another entry daemon found the suspect ready.
     pub fn note_reachable(&mut self, now: Millis, name: &str, incarnation: u64) {
-        let edge = (name.to_owned(), incarnation);
-        if let Some(suspect) = self.suspects.get_mut(&edge) {
+        let key = (name.to_owned(), incarnation);
+        if let Some(suspect) = self.suspects.get_mut(&key) {
             suspect.reachable_until = now + PROBE_VALIDITY_MS;
         }
     }
@@ -184,8 +184,8 @@
 
     /// Records the link utilization of an incarnation of a daemon.
     pub fn note_link_use(&mut self, name: &str, incarnation: u64, link_use: LinkUse) {
-        let edge = (name.to_owned(), incarnation);
-        if let Some(entry) = self.edges.get_mut(&edge) {
+        let key = (name.to_owned(), incarnation);
+        if let Some(entry) = self.edges.get_mut(&key) {
             entry.link_use = Some(link_use);
         }
     }
--- a/crates/coursestand-discovery/src/instance.rs
+++ b/crates/coursestand-discovery/src/instance.rs
@@ -25,7 +25,7 @@
     /// Start time of this incarnation, in milliseconds since the Unix epoch by the back
     /// end's own clock; `None` if the sender does not report it. Not encoded with the other
     /// fields: messages between processes carry it separately, where software versions that
-    /// do not know of it ignore it.
+    /// do not support it ignore it.
     #[serde(skip)]
     pub born: Option<Millis>,
     /// Service that the back end implements.
@@ -38,7 +38,7 @@
     pub capacity: u32,
     /// Software version.
     pub software: String,
-    /// Sequence number of the heartbeat with these facts; it increases within an
+    /// Sequence number of the heartbeat with this state; it increases within an
     /// incarnation.
     pub sequence: u64,
     /// Lifecycle phase.
--- a/crates/coursestand-discovery/tests/directory.rs
+++ b/crates/coursestand-discovery/tests/directory.rs
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn a_new_incarnation_replaces_the_previous_one_whatever_its_number() {
+fn a_new_incarnation_replaces_the_previous_one_regardless_of_its_number() {
     let mut directory = Directory::default();
     directory.connect(address(FIRST), &edge(1, 9, "a-1", EdgePhase::Draining));
     directory.connect(address(FIRST), &edge(1, 2, "a-1", EdgePhase::Ready));
--- a/crates/coursestand-discovery/tests/incarnations.rs
+++ b/crates/coursestand-discovery/tests/incarnations.rs
@@ -89,7 +89,7 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn the_newest_incarnation_wins_whatever_the_order_of_updates(
+    fn the_newest_incarnation_wins_in_any_order_of_updates(
         all in proptest::collection::vec((0..4_u64, 1..400_u64, phases()), 1..16),
         order in proptest::collection::vec(0..1_000_usize, 24),
     ) {
--- a/crates/coursestand-discovery/tests/table.rs
+++ b/crates/coursestand-discovery/tests/table.rs
@@ -1,4 +1,4 @@
-//! Records of back ends only advance, whatever the order of updates.
+//! Records of back ends only advance, in any order of updates.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
