--- a/crates/coursestand-daemon/src/control/driver.rs
+++ b/crates/coursestand-daemon/src/control/driver.rs
@@ -92,7 +92,8 @@
 }
 
 impl Group {
-    /// Returns the extent of the log, or `None` unless this replica is a voter by its own log.
+    /// Returns the extent of the log, or `None` unless this replica is a voter according to
+    /// its log.
     fn log_extent(&self) -> Option<LogExtent> {
         let is_voter = self.replica.membership().is_voter(self.identity.replica);
         is_voter.then(|| LogExtent {
@@ -425,9 +426,9 @@
         let Some(writing) = group.writing.take() else {
             return Ok(false);
         };
-        let took = writing.started.elapsed();
-        if took > SLOW_SYNC_THRESHOLD {
-            warn!(target: LOG, "the disk took {} ms to sync the log", took.as_millis());
+        let elapsed = writing.started.elapsed();
+        if elapsed > SLOW_SYNC_THRESHOLD {
+            warn!(target: LOG, "the disk took {} ms to sync the log", elapsed.as_millis());
         }
         match writing.work {
             WriteKind::Save(ready) => self.handle_persisted(*ready),
--- a/crates/coursestand-daemon/src/control/exchange.rs
+++ b/crates/coursestand-daemon/src/control/exchange.rs
@@ -79,16 +79,16 @@
     /// moves or slot releases wait for confirmations.
     fn affects_duties(&self, request: &FollowRequest) -> bool {
         let state = self.control.shared.state();
-        let known = state
+        let is_known = state
             .tables()
             .members
             .get(&request.daemon.name)
             .is_some_and(|member| {
                 member.incarnation == request.daemon.incarnation && member.phase == request.phase
             });
-        let confirms =
+        let awaits_confirmation =
             state.shift_ledger().oldest_unconfirmed().is_some() || !state.releases().is_empty();
-        !known || confirms
+        !is_known || awaits_confirmation
     }
 
     fn end_follower(&self, request: &FollowRequest) -> ControlReply {
@@ -155,9 +155,9 @@
             return ControlReply::Refused("a consensus message can't be decoded".to_owned());
         };
         let local = self.control.shared.status().identity;
-        let is_for_us = local
+        let is_for_this_replica = local
             .is_some_and(|local| local.cluster == envelope.cluster && local.replica == envelope.to);
-        if !is_for_us {
+        if !is_for_this_replica {
             return ControlReply::Refused("the message is for another replica".to_owned());
         }
         let delivered = self.control.deliver(Event::Message {
--- a/crates/coursestand-daemon/src/control/leader.rs
+++ b/crates/coursestand-daemon/src/control/leader.rs
@@ -242,21 +242,21 @@
 }
 
 fn next_shares(control: &ControlHandle) -> Option<Command> {
-    let down = {
+    let unreachable = {
         let (guard, now) = control.tenure()?;
         guard.as_ref()?.unreachable_backends(now)
     };
     let clock = control.shared.replicated_clock()?;
-    let steps = plan_steps(&control.shared.state(), &down, clock);
+    let steps = plan_steps(&control.shared.state(), &unreachable, clock);
     (!steps.is_empty()).then_some(Command::AdvanceShares(steps))
 }
 
 fn next_slots(control: &ControlHandle) -> Option<Command> {
-    let (demand, down) = {
+    let (demand, unreachable) = {
         let (guard, now) = control.tenure()?;
         let tenure = guard.as_ref()?;
         (tenure.demand(now), tenure.unreachable_backends(now))
     };
-    let changes = plan_slots(&control.shared.state(), &demand, &down);
+    let changes = plan_slots(&control.shared.state(), &demand, &unreachable);
     (!changes.is_empty()).then_some(Command::AdjustSlots(changes))
 }
--- a/crates/coursestand-daemon/src/control/operators.rs
+++ b/crates/coursestand-daemon/src/control/operators.rs
@@ -321,7 +321,7 @@
 
 #[handler]
 async fn post_members(context: Shared<'_>, change: Json<MemberChange>) -> Response {
-    // Only the leader knows the progress of the other replicas.
+    // Only the leader tracks the progress of the other replicas.
     if context.control.shared.leading_term().is_none() {
         return error_response(&ControlError::NotLeader);
     }
--- a/crates/coursestand-daemon/src/control/replica.rs
+++ b/crates/coursestand-daemon/src/control/replica.rs
@@ -162,7 +162,7 @@
         let reason = match (status.role, status.leader) {
             ("blank", _) => "has not joined a control group",
             ("failed", _) => "its storage failed",
-            (_, None) => "knows no leader: it may be cut off",
+            (_, None) => "has no leader: it may be partitioned",
             _ => return Health::Ready,
         };
         Health::NotReady {
--- a/crates/coursestand-daemon/src/control/shared.rs
+++ b/crates/coursestand-daemon/src/control/shared.rs
@@ -23,7 +23,7 @@
     pub term: u64,
     /// `leader`, `follower`, `candidate`, `blank` or `failed`.
     pub role: &'static str,
-    /// The leader as far as this replica knows.
+    /// The leader, if this replica has learned of one.
     pub leader: Option<u64>,
     /// Highest committed index.
     pub commit: u64,
@@ -184,8 +184,9 @@
             .unwrap_or_else(PoisonError::into_inner) = (index, membership);
     }
 
-    /// Returns the extent of this replica's log, or `None` unless it is a voter by its own
-    /// log: a replica that lost its disk doesn't know what its predecessor acknowledged.
+    /// Returns the extent of this replica's log, or `None` unless it is a voter according
+    /// to its own log: a replica that lost its disk has no record of what its predecessor
+    /// acknowledged.
     pub fn log_extent(&self) -> Option<LogExtent> {
         *self
             .log_extent
@@ -193,11 +194,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn set_log_extent(&self, reach: Option<LogExtent>) {
+    pub(crate) fn set_log_extent(&self, extent: Option<LogExtent>) {
         *self
             .log_extent
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = reach;
+            .unwrap_or_else(PoisonError::into_inner) = extent;
     }
 
     /// Returns the clock that this replica advances, or `None` unless it leads.
--- a/crates/coursestand-daemon/src/daemon.rs
+++ b/crates/coursestand-daemon/src/daemon.rs
@@ -155,8 +155,8 @@
     );
     let prober = Prober::new(Arc::clone(&shared), Duration::from_millis(entry.probe_ms));
     let reporter = Reporter::new(daemon, shared, control);
-    let stop_within = Duration::from_millis(settings.stop_ms);
-    let service = GatewayService::new(entry.listen, gateway, stop_within);
+    let drain_timeout = Duration::from_millis(settings.stop_ms);
+    let service = GatewayService::new(entry.listen, gateway, drain_timeout);
     // Services are drained in reverse order: callers first, the lease last.
     kernel.add(Arc::new(follower));
     kernel.add(Arc::new(reporter));
--- a/crates/coursestand-daemon/src/entry/control_client.rs
+++ b/crates/coursestand-daemon/src/entry/control_client.rs
@@ -15,7 +15,7 @@
 use snafu::Snafu;
 
 const LOG: &str = "follower";
-/// Time-out of a once command at one replica before the next one is tried.
+/// Timeout of a once command at one replica before the next one is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Delay after an attempt at each replica has failed.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/coursestand-daemon/src/entry/follower.rs
+++ b/crates/coursestand-daemon/src/entry/follower.rs
@@ -19,11 +19,11 @@
 use crate::names;
 
 const LOG: &str = "follower";
-/// Time-out at one replica: the long poll and two slow round trips.
+/// Timeout at one replica: the long poll and two slow round trips.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(MAX_POLL_WAIT_MS + 500);
 /// Delay after a failed request to the control group.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Time-out of the last request, which releases lease and slots.
+/// Timeout of the last request, which releases lease and slots.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time within which look-ups exclude this daemon after it announced that it leaves.
 const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(500);
--- a/crates/coursestand-daemon/src/entry/gateway_service.rs
+++ b/crates/coursestand-daemon/src/entry/gateway_service.rs
@@ -24,19 +24,19 @@
 pub struct GatewayService {
     address: SocketAddr,
     gateway: Arc<Gateway>,
-    stop_within: Duration,
+    drain_timeout: Duration,
     server: Mutex<Option<Arc<HttpServer>>>,
     registry: Mutex<Option<Arc<Registry>>>,
 }
 
 impl GatewayService {
-    /// Returns a service on `address`. A planned stop waits up to `stop_within` for requests in
+    /// Returns a service on `address`. A planned stop waits up to `drain_timeout` for requests in
     /// flight.
-    pub fn new(address: SocketAddr, gateway: Arc<Gateway>, stop_within: Duration) -> Self {
+    pub fn new(address: SocketAddr, gateway: Arc<Gateway>, drain_timeout: Duration) -> Self {
         GatewayService {
             address,
             gateway,
-            stop_within,
+            drain_timeout,
             server: Mutex::new(None),
             registry: Mutex::new(None),
         }
@@ -80,7 +80,7 @@
     async fn start(&self, registry: &Arc<Registry>) -> Result<(), ServiceError> {
         *self.registry.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::clone(registry));
         let routes = routes(Arc::clone(&self.gateway));
-        let server = HttpServer::start(self.address, routes, self.stop_within)
+        let server = HttpServer::start(self.address, routes, self.drain_timeout)
             .await
             .map_err(|error| ServiceError::new(names::GATEWAY, error))?;
         *self.server.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::new(server));
@@ -98,7 +98,7 @@
         if let Some(server) = self.server() {
             server.drain().await;
         }
-        let deadline = Instant::now() + self.stop_within;
+        let deadline = Instant::now() + self.drain_timeout;
         while in_flight(self.gateway.shared()) > 0 && Instant::now() < deadline {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/coursestand-daemon/src/fleet/catalog_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_follower.rs
@@ -48,7 +48,7 @@
         self.state.routing().catalog.version()
     }
 
-    /// Returns whether no catalog was received so far.
+    /// Returns whether no catalog has been received.
     pub fn is_empty(&self) -> bool {
         self.state.routing().catalog.is_empty()
     }
@@ -61,7 +61,7 @@
     }
 
     /// Sets the voters of the control group after the membership change at log index
-    /// `changed_at`. Returns whether this is at least as new as the group known so far.
+    /// `changed_at`. Returns whether this is at least as new as the known group.
     pub fn set_voters(&self, voters: BTreeSet<SocketAddr>, changed_at: u64) -> bool {
         self.freshness().set_members(voters, changed_at)
     }
@@ -89,16 +89,22 @@
         self.catch_up().note_available(from, version);
     }
 
-    /// Records how far the log of `from` reached when it was asked at `asked_at`, and that its
-    /// catalog is at `version`.
-    pub fn note_reach(&self, from: SocketAddr, asked_at: Millis, reach: LogExtent, version: u64) {
+    /// Records the log extent that `from` reported in answer to the ping sent at `ping_sent_at`,
+    /// and that its catalog is at `version`.
+    pub fn note_log_extent(
+        &self,
+        from: SocketAddr,
+        ping_sent_at: Millis,
+        log_extent: LogExtent,
+        version: u64,
+    ) {
         let mut freshness = self.freshness();
-        freshness.note_applied(version, reach.applied);
-        freshness.note_log_end(from, asked_at, reach.end);
+        freshness.note_applied(version, log_extent.applied);
+        freshness.note_log_end(from, ping_sent_at, log_extent.end);
     }
 
     /// Returns whether to fetch missing changes from `from`. This also replaces a control
-    /// process that has sent nothing for `answer_timeout` although asked.
+    /// process that has sent nothing for `answer_timeout` after a request.
     pub fn should_fetch(&self, from: SocketAddr, answer_timeout: Duration) -> bool {
         let now = self.state.now();
         let timeout_ms = answer_timeout.as_millis() as Millis;
--- a/crates/coursestand-daemon/src/fleet/catalog_parts.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_parts.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct CatalogParts {
     version: u64,
-    packed: Vec<u8>,
+    compressed: Vec<u8>,
 }
 
 impl CatalogParts {
@@ -20,16 +20,16 @@
     pub fn add(&mut self, part: CatalogPart) -> Result<Option<ToEdge>, TransportError> {
         if part.offset == 0 {
             self.version = part.version;
-            self.packed.clear();
+            self.compressed.clear();
         }
-        if part.version != self.version || part.offset != self.packed.len() {
+        if part.version != self.version || part.offset != self.compressed.len() {
             return Ok(None);
         }
-        self.packed.extend(part.bytes);
-        if self.packed.len() < part.length {
+        self.compressed.extend(part.bytes);
+        if self.compressed.len() < part.length {
             return Ok(None);
         }
-        let frame = decompress(&std::mem::take(&mut self.packed))?;
+        let frame = decompress(&std::mem::take(&mut self.compressed))?;
         decode(&frame).map(Some)
     }
 }
--- a/crates/coursestand-daemon/src/fleet/catalog_updates.rs
+++ b/crates/coursestand-daemon/src/fleet/catalog_updates.rs
@@ -96,18 +96,18 @@
     ) -> Result<Arc<EncodedChanges>, TransportError> {
         // Locked while the changes are encoded, so that no other connection encodes the same.
         let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(ready) = cached.get(&since)
-            && ready.version >= version
+        if let Some(changes) = cached.get(&since)
+            && changes.version >= version
         {
-            return Ok(Arc::clone(ready));
+            return Ok(Arc::clone(changes));
         }
-        let ready = Arc::new(EncodedChanges::new(read(since))?);
-        cached.retain(|_, other| other.version >= ready.version);
+        let changes = Arc::new(EncodedChanges::new(read(since))?);
+        cached.retain(|_, other| other.version >= changes.version);
         if cached.len() >= MAX_CACHED_CHANGES {
             cached.clear();
         }
-        cached.insert(since, Arc::clone(&ready));
-        Ok(ready)
+        cached.insert(since, Arc::clone(&changes));
+        Ok(changes)
     }
 }
 
--- a/crates/coursestand-daemon/src/fleet/control_api.rs
+++ b/crates/coursestand-daemon/src/fleet/control_api.rs
@@ -32,9 +32,9 @@
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
 /// Timeout of a call, including the wait for a leader.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Delay before the leader is asked again.
+/// Delay before a request to the leader is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest body of a call.
+/// Maximum length of the body of a call.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// Divisor of the time of a planned stop: clients may use a look-up for three times its
 /// lifetime, and requests need time to finish.
@@ -268,8 +268,8 @@
             return Answer::NotLeader;
         };
         let question = Question::Propose(command.clone());
-        let left = deadline.saturating_duration_since(Instant::now());
-        let answer = self.links.ask(leader, question, left).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let answer = self.links.ask(leader, question, remaining).await;
         answer.unwrap_or_else(|| Answer::Unknown("the leader did not answer".to_owned()))
     }
 
@@ -296,10 +296,10 @@
         if let Some(catalog) = read_catalog(&self.control) {
             return Some(catalog);
         }
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let answer = self
             .links
-            .ask(self.leader()?, Question::ReadCatalog, left)
+            .ask(self.leader()?, Question::ReadCatalog, remaining)
             .await?;
         match answer {
             Answer::Catalog(delta) => Some(catalog_of(delta)),
--- a/crates/coursestand-daemon/src/fleet/control_link.rs
+++ b/crates/coursestand-daemon/src/fleet/control_link.rs
@@ -34,7 +34,7 @@
 const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Timeout for an answer in round trips, if that is longer.
 const ANSWER_TIMEOUT_ROUND_TRIPS: u32 = 3;
-/// Maximum timeout for an answer, whatever the last round trip took.
+/// Maximum timeout for an answer, regardless of the last round trip.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(8_000);
 /// Failed attempts after which the timeout stops doubling: it has reached its maximum.
 const MAX_DOUBLINGS: u32 = 3;
@@ -62,8 +62,8 @@
 #[derive(Clone, Copy, Debug)]
 struct SentPing {
     sent_at: Instant,
-    /// Time of sending on the clock that leases go by, which counts suspensions: what the
-    /// answer proves is as old as this.
+    /// Send time on the lease clock, which counts suspensions: what the answer proves is as
+    /// old as this.
     sent_at_ms: Millis,
 }
 
@@ -72,7 +72,7 @@
     receiver: Receiver<ToEdge>,
     sender: Sender<ToControl>,
     phases: watch::Receiver<EdgePhase>,
-    /// Pings without an answer so far, oldest first.
+    /// Unanswered pings, oldest first.
     unanswered: VecDeque<SentPing>,
     next_ping: Instant,
     last_received_at: Instant,
@@ -151,8 +151,8 @@
                     follower.note_renewed(control);
                     // Only the first message has arrived; the first answer to a ping shows
                     // whether the new connection is faster. Without this count, a full state
-                    // that takes longer to arrive than the timeout would be started over for
-                    // ever.
+                    // that takes longer to arrive than the timeout would be restarted
+                    // forever.
                     answer_timeout.failed_attempts += 1;
                     session = renewed;
                     if let Err(error) = session.handle(follower, control, message, answer_timeout) {
@@ -185,18 +185,18 @@
     Ok(message)
 }
 
-/// Returns the message for `control` about a rate limit, unless the note is meant for another
-/// control process.
-fn rate_limit_message(note: RateLimitMessage, control: SocketAddr) -> Option<ToControl> {
-    match note {
+/// Returns the message for `control` about a rate limit, or `None` if it is addressed to
+/// another control process.
+fn rate_limit_message(message: RateLimitMessage, control: SocketAddr) -> Option<ToControl> {
+    match message {
         RateLimitMessage::Update(update) => Some(ToControl::Limits(vec![update])),
         RateLimitMessage::Token {
             to,
             number,
             request,
         } => {
-            let is_addressee = to.is_none_or(|issuer| issuer == control);
-            is_addressee.then_some(ToControl::RequestToken { number, request })
+            let is_recipient = to.is_none_or(|issuer| issuer == control);
+            is_recipient.then_some(ToControl::RequestToken { number, request })
         }
     }
 }
@@ -289,27 +289,28 @@
                     }
                     self.sender.send(&ToControl::Edge(follower.record())).await?;
                 }
-                found = self.findings.recv(), if self.reads_findings => {
+                finding = self.findings.recv(), if self.reads_findings => {
                     // Findings that a slow connection misses are sent on the other connections.
-                    if let Ok(found) = found {
-                        self.outgoing.push_back(ToControl::Findings(vec![found]));
+                    if let Ok(finding) = finding {
+                        self.outgoing.push_back(ToControl::Findings(vec![finding]));
                     }
                 }
-                note = self.crash_record_messages.recv(), if self.reads_crash_records => match note {
+                message = self.crash_record_messages.recv(), if self.reads_crash_records => match message {
                     Ok(CrashRecordMessage::Trial(record)) => {
                         self.outgoing.push_back(ToControl::RequestTrial(record));
                     }
                     Ok(CrashRecordMessage::Report(record)) => {
                         self.outgoing.push_back(ToControl::CrashRecords(vec![record]));
                     }
-                    // A slow connection missed some: the requests for a trial are refused for
-                    // now.
+                    // A slow connection missed messages: the requests that need a trial are
+                    // rejected for the time being.
                     Err(_) => {}
                 },
-                note = self.rate_limit_messages.recv(), if self.reads_limits => {
-                    // A slow connection missed some: the requests for a token go without one.
-                    if let Ok(note) = note {
-                        self.outgoing.extend(rate_limit_message(note, control));
+                message = self.rate_limit_messages.recv(), if self.reads_limits => {
+                    // A slow connection missed messages: the requests that need a token go
+                    // without one.
+                    if let Ok(message) = message {
+                        self.outgoing.extend(rate_limit_message(message, control));
                     }
                 }
                 Some(found) = probes.next(), if !probes.is_empty() => {
@@ -377,11 +378,11 @@
                 if let Some(answered) = self.unanswered.pop_front() {
                     answer_timeout.failed_attempts = 0;
                     answer_timeout.round_trip = answered.sent_at.elapsed();
-                    let asked_at = answered.sent_at_ms;
+                    let ping_sent_at = answered.sent_at_ms;
                     follower.note_pong(
                         control,
                         answer_timeout.round_trip,
-                        asked_at,
+                        ping_sent_at,
                         reach,
                         catalog,
                     );
--- a/crates/coursestand-daemon/src/fleet/control_service.rs
+++ b/crates/coursestand-daemon/src/fleet/control_service.rs
@@ -28,7 +28,7 @@
 /// Time between two rounds of the hub's periodic work.
 const HUB_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout for another replica to take over the leadership.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Components of the control role for other services.
 pub struct ControlMesh {
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Hands the leadership over before the process stops.
+    /// Transfers the leadership to another voter before the process stops.
     async fn drain(&self) {
         const POLL_INTERVAL: Duration = Duration::from_millis(20);
         let Some(mesh) = self.mesh() else {
@@ -180,7 +180,7 @@
         let is_leader = mesh.control.shared.leading_term().is_some();
         if is_leader && mesh.control.deliver(Event::TransferLeadership).is_ok() {
             while mesh.control.shared.status().role == "leader"
-                && started.elapsed() < HAND_OVER_TIMEOUT
+                && started.elapsed() < TRANSFER_TIMEOUT
             {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
--- a/crates/coursestand-daemon/src/fleet/edge_follower.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_follower.rs
@@ -61,14 +61,14 @@
 #[derive(Clone, Debug, Default)]
 struct FollowedControl {
     /// When the newest ping that was answered on the current connection was sent.
-    answered_at: Option<Millis>,
+    answered_ping_sent_at: Option<Millis>,
     edges: BTreeSet<String>,
 }
 
 impl FollowedControl {
     fn is_connected(&self, now: Millis) -> bool {
-        self.answered_at
-            .is_some_and(|answered_at| now.saturating_sub(answered_at) < CONNECTION_LEASE_MS)
+        self.answered_ping_sent_at
+            .is_some_and(|sent_at| now.saturating_sub(sent_at) < CONNECTION_LEASE_MS)
     }
 }
 
@@ -203,20 +203,20 @@
             .update(self.connected_count(), self.catalog.age_ms());
     }
 
-    /// Returns the time of the clock that leases go by, in milliseconds; it counts suspensions
-    /// of the machine.
+    /// Returns the time of the lease clock, which counts suspensions of the machine, in
+    /// milliseconds.
     pub(super) fn now(&self) -> Millis {
         self.state.now()
     }
 
-    /// Records the answer to the ping sent at `asked_at`. That time is passed separately
+    /// Records the answer to the ping sent at `ping_sent_at`. That time is passed separately
     /// because the round trip does not include suspensions of the machine.
     pub(super) fn note_pong(
         &self,
         control: SocketAddr,
         round_trip: Duration,
-        asked_at: Millis,
-        reach: Option<LogExtent>,
+        ping_sent_at: Millis,
+        log_extent: Option<LogExtent>,
         catalog: u64,
     ) {
         self.metrics.round_trip.observe(round_trip.as_secs_f64());
@@ -228,19 +228,21 @@
         }
         let now = self.state.now();
         self.catalog.note_version(control, catalog);
-        if let Some(reach) = reach {
-            self.catalog.note_reach(control, asked_at, reach, catalog);
+        if let Some(log_extent) = log_extent {
+            self.catalog
+                .note_log_extent(control, ping_sent_at, log_extent, catalog);
         }
-        self.note_connected(control, now, asked_at);
+        self.note_connected(control, now, ping_sent_at);
         self.become_ready();
     }
 
-    fn note_connected(&self, control: SocketAddr, now: Millis, asked_at: Millis) {
+    fn note_connected(&self, control: SocketAddr, now: Millis, ping_sent_at: Millis) {
         let has_changed = {
             let mut followed_controls = self.followed_controls();
             let connection = followed_controls.entry(control).or_default();
             let was_connected = connection.is_connected(now);
-            connection.answered_at = connection.answered_at.max(Some(asked_at));
+            connection.answered_ping_sent_at =
+                connection.answered_ping_sent_at.max(Some(ping_sent_at));
             connection.is_connected(now) != was_connected
         };
         if has_changed {
@@ -256,7 +258,7 @@
         let was_connected = {
             let mut followed_controls = self.followed_controls();
             let before = followed_controls.insert(control, FollowedControl::default());
-            before.is_some_and(|connection| connection.answered_at.is_some())
+            before.is_some_and(|connection| connection.answered_ping_sent_at.is_some())
         };
         self.update_is_following();
         if was_connected {
@@ -311,8 +313,8 @@
             controls_to_follow.truncate(controls.len() / 2 + 1);
         }
         let mut controls_to_follow: BTreeSet<SocketAddr> = controls_to_follow.into_iter().collect();
-        // Without any connection, the seeds may know the current group; while the daemon
-        // starts, they may know a newer one than it has received.
+        // Without any connection, the seeds may have the current group; while the daemon
+        // starts, they may have a newer one than it has received.
         let is_disconnected = self.connected_count() == 0;
         if is_disconnected || self.phase() == EdgePhase::Starting {
             controls_to_follow.extend(self.seeds.borrow().iter().copied());
@@ -451,8 +453,8 @@
     }
 
     /// Updates whether this daemon is connected with more than half of the control processes.
-    /// Any two daemons that are connected so have one control process in common, and know of
-    /// each other.
+    /// Any two daemons for which this holds have a control process in common, and learn of
+    /// each other from it.
     fn update_is_following(&self) {
         let controls = self.controls().clone();
         // Locked until the end, so that an older result never replaces a newer one.
--- a/crates/coursestand-daemon/src/fleet/edge_service.rs
+++ b/crates/coursestand-daemon/src/fleet/edge_service.rs
@@ -105,7 +105,7 @@
         self.update_retry_metrics(&routing);
     }
 
-    /// Updates the retry metrics of every service, including those without requests so far.
+    /// Updates the retry metrics of every service, including those without requests.
     fn update_retry_metrics(&self, routing: &RoutingState) {
         let now = self.state.now();
         let limits = self.state.bounds().retries;
@@ -116,16 +116,16 @@
         for service in routing.catalog.services() {
             self.exchange.metrics().init_retry_counters(service);
             let budget = routing.budgets.get(service);
-            let left = budget.map(|budget| budget.left(now, limits, allowance));
-            let held = budget.map(|budget| budget.withheld(now, limits) as f64);
+            let remaining = budget.map(|budget| budget.left(now, limits, allowance));
+            let withheld = budget.map(|budget| budget.withheld(now, limits) as f64);
             let service = [service.as_str()];
             let metrics = &self.metrics;
             let set_gauge = |gauge: &GaugeVec, value: Option<f64>| {
                 let gauge = gauge.with_label_values(&service);
                 gauge.set(value.unwrap_or_default());
             };
-            set_gauge(&metrics.retry_budget, left);
-            set_gauge(&metrics.withheld_retries, held);
+            set_gauge(&metrics.retry_budget, remaining);
+            set_gauge(&metrics.withheld_retries, withheld);
         }
     }
 
@@ -178,7 +178,7 @@
 
     fn state(&self) -> EdgeState {
         let bounds = &self.settings.bounds;
-        let place = PickerConfig {
+        let picker_config = PickerConfig {
             daemon: self.settings.name.clone(),
             region: self.settings.region.clone(),
             zones: self.settings.zones.clone(),
@@ -197,7 +197,7 @@
             settle_ms: COLD_SETTLE_HEARTBEATS * bounds.heartbeat.0,
             hand_over_ms: HAND_OVER_MS,
         };
-        EdgeState::new(self.clock, place, bounds)
+        EdgeState::new(self.clock, picker_config, bounds)
     }
 }
 
@@ -283,8 +283,8 @@
         tokio::time::sleep(drain_time.min(stop.saturating_sub(EXIT_RESERVE))).await;
         info!(target: LOG, in_flight = running.exchange.metrics().in_flight.get();
             "new callers are rejected");
-        let left = stop.saturating_sub(drain_time + EXIT_RESERVE);
-        if tokio::time::timeout(left, running.server.close())
+        let remaining = stop.saturating_sub(drain_time + EXIT_RESERVE);
+        if tokio::time::timeout(remaining, running.server.close())
             .await
             .is_err()
         {
@@ -305,7 +305,7 @@
         let Some(running) = self.running() else {
             return Value::Null;
         };
-        let trust = self.balance().report_decay;
+        let report_decay = self.balance().report_decay;
         let follower = running.follower.dump();
         let idle_connections = running.pool.idle_count();
         let routing = running.state.routing();
@@ -320,7 +320,7 @@
                     "zone": backend.instance.zone,
                     "phase": format!("{:?}", backend.instance.phase),
                     "in_flight": backend.in_flight,
-                    "load": backend.load(now, trust),
+                    "load": backend.load(now, report_decay),
                     "cold": backend.is_cold(now),
                     "ejected": backend.is_ejected(now),
                     "backoff_left_ms": backend.backoff_left_ms(now),
@@ -337,8 +337,9 @@
             .budgets
             .iter()
             .map(|(service, budget)| {
-                let left = budget.left(now, running.state.bounds().retries, &routing.allowance);
-                (service.as_str(), left)
+                let remaining =
+                    budget.left(now, running.state.bounds().retries, &routing.allowance);
+                (service.as_str(), remaining)
             })
             .collect();
         json!({
--- a/crates/coursestand-daemon/src/fleet/formation.rs
+++ b/crates/coursestand-daemon/src/fleet/formation.rs
@@ -2,7 +2,7 @@
 //!
 //! At the first start of a deployment the processes at the seed addresses become the first
 //! voters; their identities are derived from their addresses, so they need no coordination. All
-//! other processes, and every process that lost its disk, ask the leader to add them under a
+//! other processes, and every process that lost its disk, have the leader add them under a
 //! new identity: first as learners and, once they have caught up, as voters in place of the
 //! earlier replica at their address.
 
@@ -36,7 +36,7 @@
 const ALIVE_WITHIN_MS: Millis = 1_000;
 /// A voter that was silent for longer than this may be removed if enough others are alive.
 const LOST_AFTER_MS: Millis = 3_000;
-/// A replica without a leader for longer than this asks whether it is still a member.
+/// A replica without a leader for longer than this requests to rejoin, in case it was removed.
 const LEADERLESS_LIMIT_MS: Millis = 2_000;
 /// Maximum lag of a learner, in log entries, when it is promoted to voter.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
@@ -66,7 +66,7 @@
     links: OnceLock<Arc<PeerLinks>>,
     seeds: watch::Receiver<Vec<SocketAddr>>,
     joins: Mutex<BTreeMap<SocketAddr, JoinRequest>>,
-    /// Identity under which this process asks to join while it has none.
+    /// Identity under which this process requests to join while it has none.
     new_replica: u64,
 }
 
@@ -147,7 +147,7 @@
                 "blank" => self.join_as_blank().await,
                 "leader" => self.change_group_if_due(&status).await,
                 "failed" => {}
-                _ if leaderless_ms > LEADERLESS_LIMIT_MS => self.ask_to_rejoin(&status).await,
+                _ if leaderless_ms > LEADERLESS_LIMIT_MS => self.request_rejoin(&status).await,
                 _ => {}
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
@@ -200,7 +200,7 @@
             self.found_group(&seeds).await;
             return;
         }
-        let Some((cluster, voters)) = self.ask_to_join(self.new_replica).await else {
+        let Some((cluster, voters)) = self.request_join(self.new_replica).await else {
             return;
         };
         let identity = Identity {
@@ -229,15 +229,15 @@
         }
     }
 
-    /// Asks to rejoin, with its log, after the replica was removed while it was partitioned.
-    async fn ask_to_rejoin(&self, status: &ReplicaStatus) {
+    /// Requests to rejoin, with its log, after the replica was removed while it was partitioned.
+    async fn request_rejoin(&self, status: &ReplicaStatus) {
         if let Some(identity) = &status.identity {
             // The leader replicates the log to it once the replica is a member again.
-            let _ = self.ask_to_join(identity.replica).await;
+            let _ = self.request_join(identity.replica).await;
         }
     }
 
-    async fn ask_to_join(&self, replica: u64) -> Option<(u64, Vec<(u64, String)>)> {
+    async fn request_join(&self, replica: u64) -> Option<(u64, Vec<(u64, String)>)> {
         let links = self.links()?;
         let question = Question::Join {
             address: self.rules.local_address,
@@ -273,7 +273,7 @@
         match tokio::time::timeout(REQUEST_TIMEOUT, change).await {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => info!(target: LOG, "membership change failed: {error}"),
-            Err(_) => info!(target: LOG, "membership change is not committed so far"),
+            Err(_) => info!(target: LOG, "membership change was not committed within the timeout"),
         }
     }
 
--- a/crates/coursestand-daemon/src/fleet/hub/crash_records.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/crash_records.rs
@@ -55,8 +55,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Relays findings of the entry daemon with this queue about back ends, and records them
-    /// for daemons that connect later.
+    /// Relays findings about back ends from the subscriber `from`, and records them for daemons
+    /// that connect later.
     pub fn relay_findings(&self, from: u64, findings: Vec<SharedFinding>) {
         if findings.is_empty() {
             return;
@@ -89,7 +89,7 @@
         self.crash_records().fatal.snapshot(self.clock.now())
     }
 
-    /// Merges crash records of the entry daemon with this queue, and relays those that changed.
+    /// Merges crash records from the subscriber `from`, and relays those that changed.
     pub fn merge_crash_records(&self, from: u64, updates: &[SharedCrashRecord]) {
         let now = self.clock.now();
         let changed: Vec<SharedCrashRecord> = {
@@ -105,8 +105,8 @@
         self.relay_crash_records(from, changed);
     }
 
-    /// Answers the trial request of the entry daemon with this queue, which has the crash
-    /// record `record`. `term` is that of the replica's lease, if it leads.
+    /// Answers a trial request of the subscriber `from` for the request with the crash record
+    /// `record`. `term` is that of the replica's lease, if it leads.
     pub fn answer_trial(
         &self,
         from: u64,
--- a/crates/coursestand-daemon/src/fleet/hub/edges.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/edges.rs
@@ -146,7 +146,7 @@
             .note_reachable(now, name, incarnation);
     }
 
-    /// Sends a probe request for each suspect to a connected entry daemon, chosen at random
+    /// Sends a probe request for each suspect to a connected entry daemon, selected at random
     /// each time.
     pub(super) fn probe_suspects(&self, now: Millis) {
         let (suspects, connected) = {
@@ -158,12 +158,12 @@
             let Ok(frame) = encode(&ToEdge::Probe(suspect)) else {
                 continue;
             };
-            let chosen = connected.choose(&mut rand::rng());
+            let prober = connected.choose(&mut rand::rng());
             let subscribers = self
                 .subscribers
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            if let Some(subscriber) = chosen.and_then(|number| subscribers.get(number)) {
+            if let Some(subscriber) = prober.and_then(|number| subscribers.get(number)) {
                 // A full queue ends the connection at the next update.
                 let _ = subscriber.frames.try_send(Bytes::from(frame));
             }
--- a/crates/coursestand-daemon/src/fleet/hub/mod.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/mod.rs
@@ -84,7 +84,7 @@
     crash_records: Mutex<CrashRecords>,
     /// Rate limits that back ends reported.
     rate_limits: Mutex<RateLimits>,
-    next_id: AtomicU64,
+    next_number: AtomicU64,
     links: OnceLock<Arc<PeerLinks>>,
     /// Members of the control group by address.
     controls: watch::Sender<ControlGroup>,
@@ -103,7 +103,7 @@
             subscribers: Mutex::default(),
             crash_records: Mutex::new(CrashRecords::new(local_address)),
             rate_limits: Mutex::default(),
-            next_id: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
             links: OnceLock::new(),
             controls: watch::Sender::default(),
             edges: watch::Sender::default(),
@@ -300,7 +300,7 @@
         &self,
         subscriptions: EdgeSubscriptions,
     ) -> (u64, mpsc::Receiver<Bytes>, Vec<InstanceUpdate>) {
-        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (frames, queue) = mpsc::channel(SUBSCRIBER_QUEUE_FRAMES);
         let subscriber = EdgeSubscriber {
             frames,
@@ -369,14 +369,14 @@
     }
 
     fn expire_instances(&self, now: Millis) {
-        let silence = MAX_MISSED_HEARTBEATS * self.heartbeat;
-        let ended: Vec<InstanceUpdate> = {
+        let instance_timeout = MAX_MISSED_HEARTBEATS * self.heartbeat;
+        let expired: Vec<InstanceUpdate> = {
             let mut state = self.state();
-            let ids = state.instances.expire(now, silence);
+            let ids = state.instances.expire(now, instance_timeout);
             let entries = ids.iter().filter_map(|id| state.instances.get(id));
             entries.map(|entry| entry.to_update(now)).collect()
         };
-        self.publish_changes(&ended);
+        self.publish_changes(&expired);
     }
 
     /// Returns the numbers of ready back ends, draining back ends and connected entry daemons.
@@ -428,7 +428,7 @@
     }
 }
 
-/// Returns a placeholder for a back end that stops without being known here.
+/// Returns a placeholder for a back end that deregisters and has no record here.
 fn placeholder_instance(id: &BackendId) -> InstanceUpdate {
     InstanceUpdate {
         instance: Instance {
--- a/crates/coursestand-daemon/src/fleet/hub/rate_limits.rs
+++ b/crates/coursestand-daemon/src/fleet/hub/rate_limits.rs
@@ -108,8 +108,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records the rate limits that the entry daemon with this queue reported, and relays those
-    /// that other daemons need.
+    /// Records the rate limits that the subscriber `from` reported, and relays those that other
+    /// daemons need.
     pub fn merge_rate_limits(&self, from: u64, mut updates: Vec<RateLimitUpdate>) {
         let now = self.clock.now();
         {
--- a/crates/coursestand-daemon/src/fleet/listener.rs
+++ b/crates/coursestand-daemon/src/fleet/listener.rs
@@ -55,7 +55,7 @@
     pub formation: Arc<Formation>,
 }
 
-/// Accepts connections until it is dropped; their tasks belong to `tasks`.
+/// Accepts connections until it is dropped; each is served by one of `tasks`.
 pub async fn accept(listener: TcpListener, context: Arc<ConnectionContext>, tasks: Arc<Tasks>) {
     loop {
         match listener.accept().await {
@@ -179,10 +179,10 @@
         return;
     };
     let identity = control.shared.status().identity;
-    let is_for_us = identity.is_some_and(|identity| {
+    let is_for_this_replica = identity.is_some_and(|identity| {
         identity.cluster == envelope.cluster && identity.replica == envelope.to
     });
-    if is_for_us {
+    if is_for_this_replica {
         // Fails only if the driver has stopped.
         let _ = control.deliver(Event::Message {
             from: envelope.from,
@@ -299,7 +299,7 @@
         let mut edges = hub.edges();
         // The catalog precedes the back ends, of which there are many, because it has to be in
         // force soon. The first answer to a ping follows all of this: it makes the daemon count
-        // as connected, and by then the daemon must know the others.
+        // as connected, and by then the daemon must have the list of the others.
         let group = controls.borrow_and_update().clone();
         sender.send(&ToEdge::Controls(group)).await?;
         catalog.borrow_and_update();
@@ -421,18 +421,18 @@
         }
     }
 
-    /// Returns `reach` unless the replica has restarted from its disk since: what was sent may
-    /// then be older than `reach`.
-    fn reach_unless_restarted(&self, reach: Option<LogExtent>) -> Option<LogExtent> {
+    /// Returns `log_extent` unless the replica has since restarted from its disk: what was sent
+    /// may then be older than `log_extent`.
+    fn extent_unless_restarted(&self, log_extent: Option<LogExtent>) -> Option<LogExtent> {
         let now = self.context.control.shared.log_extent()?;
-        reach.filter(|reach| now.applied >= reach.applied)
+        log_extent.filter(|log_extent| now.applied >= log_extent.applied)
     }
 
     async fn answer_ping(&mut self, sender: &mut Sender<ToEdge>) -> Result<(), StreamError> {
         // Read first, so that all that it reports as applied is sent before the answer.
         let reach = self.shared().log_extent();
         self.send_catalog(sender).await?;
-        let reach = self.reach_unless_restarted(reach);
+        let reach = self.extent_unless_restarted(reach);
         let catalog = self.shared().state().catalog().version();
         sender.send(&ToEdge::Pong { reach, catalog }).await
     }
--- a/crates/coursestand-daemon/src/fleet/metrics.rs
+++ b/crates/coursestand-daemon/src/fleet/metrics.rs
@@ -130,7 +130,7 @@
     pub cold: IntGauge,
     /// Known back ends that are ejected for their failures.
     pub ejected: IntGauge,
-    /// Known back ends that asked for a back-off.
+    /// Known back ends that requested a back-off.
     pub backing_off: IntGauge,
     /// Known back ends that reported a rate limit.
     pub rate_limited: IntGauge,
--- a/crates/coursestand-daemon/src/fleet/peer_links.rs
+++ b/crates/coursestand-daemon/src/fleet/peer_links.rs
@@ -173,7 +173,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take_reply(&self, reply: PeerReply) {
+    fn deliver_reply(&self, reply: PeerReply) {
         let number = match &reply {
             PeerReply::Pong => return,
             PeerReply::Received(number) | PeerReply::Answer { number, .. } => *number,
@@ -241,7 +241,7 @@
                     *was_connected = true;
                     debug!(target: LOG, peer:% = link.address; "control process connected");
                 }
-                link.take_reply(reply?);
+                link.deliver_reply(reply?);
             }
             _ = ping.tick() => {
                 sender.send(&ToControl::Ping).await?;
--- a/crates/coursestand-daemon/src/fleet/wire.rs
+++ b/crates/coursestand-daemon/src/fleet/wire.rs
@@ -91,8 +91,8 @@
 
 /// Start times of the incarnations in a list of instance updates, in the list's order.
 ///
-/// This is the last field of its message. A process that does not know the field ignores the
-/// trailing bytes, and a message from such a process ends before them and decodes without start
+/// This is the last field of its message. A process that does not support the field ignores
+/// the trailing bytes, and a message from such a process ends before them and decodes without start
 /// times. So processes of both versions work side by side.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StartTimes(Vec<Option<Millis>>);
@@ -214,7 +214,7 @@
     },
     /// The receiver of the question is not the leader.
     NotLeader,
-    /// The replica is not a member so far; the leader is one of these processes.
+    /// The replica is not a member; the leader is one of these processes.
     AskThese(Vec<SocketAddr>),
     /// It is unknown whether the command took effect; the text says why.
     Unknown(String),
@@ -246,9 +246,9 @@
     /// Answer to one `EdgePing`, in the order of the pings. All that the control process had
     /// applied when it received the ping was sent before this answer.
     Pong {
-        /// How far its log reached then; `None` if it is not a voter.
+        /// Extent of its log at that time; `None` if it is not a voter.
         reach: Option<LogExtent>,
-        /// Catalog version that it had applied then, or a later one.
+        /// Catalog version that it had applied at that time, or a later one.
         catalog: u64,
     },
     /// Changes of the catalog.
--- a/crates/coursestand-daemon/src/main.rs
+++ b/crates/coursestand-daemon/src/main.rs
@@ -202,7 +202,7 @@
     }
     info!(target: LOG, "a planned stop begins");
     // Further signals don't speed the stop up: supervisors repeat them, and the stop has its
-    // own time-out.
+    // own timeout.
     node.drain_and_stop().await;
     info!(target: LOG, "stopped");
     ExitCode::SUCCESS
