--- a/crates/coursestand-daemon/tests/catalog_distribution.rs
+++ b/crates/coursestand-daemon/tests/catalog_distribution.rs
@@ -60,8 +60,8 @@
         self.merge(routes, version);
     }
 
-    fn send(&mut self, distribution: CatalogMessage) {
-        let message = match distribution {
+    fn send(&mut self, catalog_message: CatalogMessage) {
+        let message = match catalog_message {
             CatalogMessage::Frame(frame) => decode(&frame).expect("a message"),
             CatalogMessage::Message(message) => message,
         };
@@ -72,9 +72,9 @@
     fn send_next(&mut self) {
         let read = |since| self.catalog.steering_delta(since);
         let version = self.catalog.version();
-        let distribution = self.distribution.next_message(version, &self.updates, read);
-        if let Some(distribution) = distribution.expect("encoded") {
-            self.send(distribution);
+        let catalog_message = self.distribution.next_message(version, &self.updates, read);
+        if let Some(catalog_message) = catalog_message.expect("encoded") {
+            self.send(catalog_message);
         }
     }
 
@@ -82,8 +82,8 @@
         let read = |since| self.catalog.steering_delta(since);
         let (have, version) = (self.daemon.version(), self.catalog.version());
         let fetched = self.distribution.fetch(have, version, &self.updates, read);
-        for distribution in fetched.expect("encoded") {
-            self.send(distribution);
+        for catalog_message in fetched.expect("encoded") {
+            self.send(catalog_message);
         }
     }
 
@@ -122,9 +122,9 @@
     /// at the control process.
     fn is_complete_up_to_its_version(&self) -> bool {
         let version = self.daemon.version();
-        let known = self.daemon.live_items().count();
+        let received = self.daemon.live_items().count();
         let changed_later = self.catalog.delta(version).items.len();
-        known + changed_later >= self.catalog.live_items().count()
+        received + changed_later >= self.catalog.live_items().count()
     }
 
     fn has_all(&self) -> bool {
--- a/crates/coursestand-daemon/tests/common/mod.rs
+++ b/crates/coursestand-daemon/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use tempfile::TempDir;
 
 /// Maximum wait for a condition; conditions are expected to hold much earlier.
-pub const WITHIN: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Fleet {
@@ -99,7 +99,7 @@
 
     async fn until_listening(&self) {
         for settings in &self.settings {
-            until("listens", || async {
+            until("the daemon listens", || async {
                 tokio::net::TcpStream::connect(settings.admin_listen)
                     .await
                     .is_ok()
@@ -136,14 +136,14 @@
     pub async fn reap(&mut self, index: usize) -> bool {
         let mut child = self.processes[index].take().expect("runs");
         let waited = tokio::task::spawn_blocking(move || child.wait());
-        let status = tokio::time::timeout(WITHIN, waited).await;
+        let status = tokio::time::timeout(TEST_TIMEOUT, waited).await;
         let status = status.expect("ends in time").expect("joined");
         status.expect("waited").success()
     }
 
     /// Returns the index of the daemon whose control replica leads.
     pub async fn leader(&self) -> usize {
-        let address = self.operator.leader(WITHIN).await.expect("a leader");
+        let address = self.operator.leader(TEST_TIMEOUT).await.expect("a leader");
         self.settings
             .iter()
             .position(|settings| {
@@ -178,7 +178,7 @@
         let submission = format!("order-{current}");
         let answer = self
             .operator
-            .submit_order(action, current, &submission, WITHIN)
+            .submit_order(action, current, &submission, TEST_TIMEOUT)
             .await
             .expect("an answer");
         match answer {
@@ -189,7 +189,7 @@
 
     pub async fn until_in_force(&self, daemons: usize) -> StatusAnswer {
         self.operator
-            .until_in_force(daemons, WITHIN)
+            .until_in_force(daemons, TEST_TIMEOUT)
             .await
             .expect("in force")
     }
@@ -214,11 +214,14 @@
     }
 }
 
-/// Waits until a condition holds, for at most [`WITHIN`].
-pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let end = Instant::now() + WITHIN;
+/// Waits until a condition holds, for at most [`TEST_TIMEOUT`].
+pub async fn until<F: Future<Output = bool>>(description: &str, condition: impl Fn() -> F) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < end, "timed out waiting until: {what}");
+        assert!(
+            Instant::now() < end,
+            "timed out waiting until: {description}"
+        );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/coursestand-daemon/tests/control_group.rs
+++ b/crates/coursestand-daemon/tests/control_group.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, WITHIN, until};
+use common::{Fleet, TEST_TIMEOUT, until};
 use coursestand_coordination::bundles::{AcceptedChange, OrderAction, SubmitAnswer};
 use coursestand_coordination::tables::DrainTarget;
 use coursestand_daemon::control::operators::ReplicaAddress;
@@ -94,7 +94,7 @@
     for index in 0..4 {
         fleet.start_daemon(index);
     }
-    fleet.operator.leader(WITHIN).await.expect("a leader");
+    fleet.operator.leader(TEST_TIMEOUT).await.expect("a leader");
     let status = fleet.until_in_force(4).await;
     expect_that!(status.revision, eq(revision));
     wait_for_revision(&fleet, revision).await;
@@ -132,7 +132,13 @@
         };
         fleet
             .operator
-            .replace(cluster, identities[lost], replacement, address, WITHIN)
+            .replace(
+                cluster,
+                identities[lost],
+                replacement,
+                address,
+                TEST_TIMEOUT,
+            )
             .await
             .expect("replaced");
         identities[lost] = replica;
@@ -162,7 +168,11 @@
             let bundle = signed[index].clone();
             let name = format!("race-{round}-{index}");
             let operator = fleet.operator.clone();
-            async move { operator.submit_bundle(bundle, current, &name, WITHIN).await }
+            async move {
+                operator
+                    .submit_bundle(bundle, current, &name, TEST_TIMEOUT)
+                    .await
+            }
         };
         let (first, second) = tokio::join!(submit(0), submit(1));
         let answers = [first.expect("an answer"), second.expect("an answer")];
@@ -219,21 +229,24 @@
         answer.is_ok_and(|answer| answer.status().as_u16() == 503)
     })
     .await;
-    until("the daemon rejects requests on outdated rules", || async {
-        let entry = fleet.settings[3]
-            .entry_role
-            .as_ref()
-            .expect("an entry")
-            .listen;
-        let answer = reqwest::get(format!("http://{entry}/v1/services/bunkview/x")).await;
-        answer.is_ok_and(|answer| {
-            answer.status().as_u16() == 503
-                && answer
-                    .headers()
-                    .get("x-outcome")
-                    .is_some_and(|outcome| outcome == "not-run")
-        })
-    })
+    until(
+        "the daemon rejects requests because its tables are outdated",
+        || async {
+            let entry = fleet.settings[3]
+                .entry_role
+                .as_ref()
+                .expect("an entry")
+                .listen;
+            let answer = reqwest::get(format!("http://{entry}/v1/services/bunkview/x")).await;
+            answer.is_ok_and(|answer| {
+                answer.status().as_u16() == 503
+                    && answer
+                        .headers()
+                        .get("x-outcome")
+                        .is_some_and(|outcome| outcome == "not-run")
+            })
+        },
+    )
     .await;
     fleet.start_daemon(0);
     fleet.until_in_force(3).await;
--- a/crates/coursestand-daemon/tests/fleet/deployment.rs
+++ b/crates/coursestand-daemon/tests/fleet/deployment.rs
@@ -33,13 +33,13 @@
 
 /// Number of networks; the third byte of 127.78.0.0/16 selects one.
 const NETWORK_COUNT: u8 = 254;
-/// Host whose socket marks a network as taken; no node has this host.
+/// Host whose socket marks a network as in use; no node has this host.
 const GUARD_HOST: u8 = 254;
 /// Port of that socket, below the range of ephemeral ports.
 const GUARD_PORT: u16 = 20_000;
 
 /// A loopback network that no other deployment uses, in this process or another one. Needed
-/// because ports that are free on one address may be taken on the next.
+/// because ports that are free on one address may be in use on the next.
 struct Network {
     number: u8,
     /// Open as long as the network is in use.
@@ -78,8 +78,8 @@
     pub http: reqwest::Client,
 }
 
-/// Returns free ports chosen by the system. All are open until the last is known, so that
-/// they differ.
+/// Returns free ports that the system assigns. All stay bound until the last is assigned, so
+/// that they differ.
 fn free_ports() -> [u16; PORT_COUNT] {
     let listeners: Vec<TcpListener> = (0..PORT_COUNT)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"))
@@ -212,8 +212,8 @@
         std::fs::remove_dir_all(self.data_folder(host)).expect("removed");
     }
 
-    /// Returns the addresses of the voters that `host` knows; none as long as it knows no
-    /// leader or is not a voter under its current identity.
+    /// Returns the addresses of the voters according to `host`; none while it has no leader or
+    /// is not a voter under its current identity.
     pub fn voters(&self, host: u8) -> Vec<String> {
         let dump = self.nodes[&host].kernel().dump();
         let replica = &dump["hub"]["replica"];
@@ -221,10 +221,10 @@
             return Vec::new();
         }
         let members = replica["members"].as_array().cloned().unwrap_or_default();
-        let own_id = &replica["identity"]["replica"];
+        let replica_id = &replica["identity"]["replica"];
         let is_voter = members
             .iter()
-            .any(|member| member["replica"] == *own_id && member["voter"] == true);
+            .any(|member| member["replica"] == *replica_id && member["voter"] == true);
         if !is_voter {
             return Vec::new();
         }
@@ -237,7 +237,7 @@
         voters
     }
 
-    /// Waits until each of these hosts knows exactly them as voters.
+    /// Waits until each of these hosts reports exactly these hosts as voters.
     pub async fn wait_for_voters(&self, hosts: &[u8]) {
         let mut expected: Vec<String> = hosts
             .iter()
@@ -259,7 +259,7 @@
                     .values()
                     .map(|node| node.kernel().dump())
                     .collect();
-                panic!("not in time: {description}; {dumps:#?}");
+                panic!("timed out waiting for: {description}; {dumps:#?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -368,7 +368,7 @@
         while !condition(&self.lookup(host).await) {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "not in time: {description}"
+                "timed out waiting for: {description}"
             );
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -407,7 +407,7 @@
             .map_or(0, |answer| answer.status().as_u16())
     }
 
-    /// Returns the phase of a back end as an entry daemon knows it.
+    /// Returns the phase of a back end according to an entry daemon.
     pub fn phase_at(&self, host: u8, id: &str) -> Option<String> {
         let dump = self.nodes[&host].kernel().dump();
         let backends = dump["edge"]["backends"].as_array()?.clone();
--- a/crates/coursestand-daemon/tests/fleet/fatal_requests.rs
+++ b/crates/coursestand-daemon/tests/fleet/fatal_requests.rs
@@ -13,7 +13,7 @@
 
 const EDGES: [u8; 5] = [EDGE, OTHER_EDGE, 13, 14, 15];
 const BACKENDS: usize = 16;
-/// Back ends that one such request may crash, whatever the number of daemons.
+/// Back ends that one such request may crash, for any number of daemons.
 const MAX_CRASHES: usize = 6;
 const REQUESTS: usize = 60;
 const PAUSE: Duration = Duration::from_millis(30);
@@ -50,7 +50,7 @@
 
 /// Rounds; in each of them one entry daemon is killed and restarted.
 const RESTARTS: usize = 10;
-/// Back ends that one request may crash whatever restarts: three crashes quarantine it, and
+/// Back ends that one request may crash regardless of restarts: three crashes quarantine it, and
 /// two more copies may be in flight by then.
 const MAX_CRASHES_WITH_RESTARTS: usize = 5;
 
@@ -100,8 +100,8 @@
     }
 }
 
-/// Starts back ends that crash under the fatal request, and waits until all entry daemons know
-/// them.
+/// Starts back ends that crash on the fatal request, and waits until all entry daemons have
+/// received them.
 async fn start_fatal_backends(deployment: &Deployment, count: usize) -> Vec<ScriptedBackend> {
     let mut backends = Vec::new();
     for number in 0..count {
@@ -119,8 +119,10 @@
     for number in 0..count {
         let id = format!("i-{number}");
         for edge in EDGES {
-            let is_known = || deployment.phase_at(edge, &id).is_some();
-            deployment.wait_until("a back end is known", is_known).await;
+            let has_backend = || deployment.phase_at(edge, &id).is_some();
+            deployment
+                .wait_until("a daemon has the back end", has_backend)
+                .await;
         }
     }
     backends
--- a/crates/coursestand-daemon/tests/fleet/main.rs
+++ b/crates/coursestand-daemon/tests/fleet/main.rs
@@ -142,7 +142,7 @@
     expect_that!(deployment.heartbeat(5, &ready).await, eq(200));
     for edge in [EDGE, OTHER_EDGE] {
         deployment
-            .wait_until("the back end is known", || {
+            .wait_until("the daemon has the back end", || {
                 deployment.phase_at(edge, "i").is_some()
             })
             .await;
@@ -243,7 +243,7 @@
     deployment.start_edge(EDGE).await;
     expect_that!(deployment.patch(&[1], &first_items()).await, eq(200));
     let mut served = metric_names(&deployment.metrics(1).await);
-    // Metrics with a label for the service appear once the daemon knows a service.
+    // Metrics with a label for the service appear once the daemon has a service.
     let mut edge_metrics = String::new();
     while !edge_metrics.contains("coursestand_edge_retry_budget") {
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
--- a/crates/coursestand-daemon/tests/fleet/restarted_backend.rs
+++ b/crates/coursestand-daemon/tests/fleet/restarted_backend.rs
@@ -15,8 +15,8 @@
 
 const STARTED_MS: Millis = 1_796_259_000_000;
 const ID: &str = "i";
-/// Time for a heartbeat to control, its way to the daemon, and a request.
-const SERVED_WITHIN: Duration = Duration::from_millis(1_000);
+/// Maximum time for a heartbeat to reach control and the daemon, and for a request.
+const MAX_TIME_TO_SERVE: Duration = Duration::from_millis(1_000);
 
 /// Returns a heartbeat of an incarnation of the back end.
 fn heartbeat(
@@ -42,9 +42,9 @@
     expect_that!(deployment.patch(&[4], &first_items()).await, eq(200));
     let ready = heartbeat(backend, 0, 400, InstancePhase::Ready);
     expect_that!(deployment.heartbeat(5, &ready).await, eq(200));
-    let is_known = || deployment.phase_at(EDGE, ID).is_some();
+    let has_backend = || deployment.phase_at(EDGE, ID).is_some();
     deployment
-        .wait_until("the back end is known", is_known)
+        .wait_until("the daemon has the back end", has_backend)
         .await;
     expect_that!(deployment.request(EDGE, "/a/x", "r1").await, eq(200));
     deployment
@@ -55,7 +55,7 @@
     let started = Instant::now();
     let ready = heartbeat(restarted, 1, 1, InstancePhase::Ready);
     expect_that!(deployment.heartbeat(2, &ready).await, eq(200));
-    while started.elapsed() < 3 * SERVED_WITHIN {
+    while started.elapsed() < 3 * MAX_TIME_TO_SERVE {
         deployment.request(EDGE, "/a/x", "again").await;
         if !restarted.runs().is_empty() {
             break;
@@ -85,9 +85,9 @@
     let deployment = serve_first_incarnation(&first).await;
     drop(first);
     let restarted = start_backend().await;
-    let took = time_to_serve(&deployment, &restarted).await;
-    println!("first request after {} ms", took.as_millis());
-    expect_that!(took, lt(SERVED_WITHIN));
+    let elapsed = time_to_serve(&deployment, &restarted).await;
+    println!("first request after {} ms", elapsed.as_millis());
+    expect_that!(elapsed, lt(MAX_TIME_TO_SERVE));
 }
 
 #[gtest]
@@ -103,9 +103,9 @@
         .await;
     drop(first);
     let restarted = start_backend().await;
-    let took = time_to_serve(&deployment, &restarted).await;
-    println!("first request after {} ms", took.as_millis());
-    expect_that!(took, lt(SERVED_WITHIN));
+    let elapsed = time_to_serve(&deployment, &restarted).await;
+    println!("first request after {} ms", elapsed.as_millis());
+    expect_that!(elapsed, lt(MAX_TIME_TO_SERVE));
     // A late heartbeat of the first incarnation, to any control process, has no effect.
     for host in ALL_CONTROLS {
         let late = heartbeat(&restarted, 0, 402, InstancePhase::Draining);
--- a/crates/coursestand-daemon/tests/fleet/stale_catalog.rs
+++ b/crates/coursestand-daemon/tests/fleet/stale_catalog.rs
@@ -25,12 +25,12 @@
     let (receiver, mut sender) = stream::connect(deployment.internal(host))
         .await
         .expect("a connection");
-    let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let unused_address = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let record = EdgeRecord {
         name: "late".to_owned(),
         incarnation: 1,
-        address: nowhere,
-        admin_address: nowhere,
+        address: unused_address,
+        admin_address: unused_address,
         zone: ZoneId::from("z-1"),
         region: RegionId::from("z"),
         phase: EdgePhase::Ready,
@@ -59,11 +59,11 @@
     while started.elapsed() < Duration::from_secs(5) {
         match receiver.next().await.expect("a message") {
             ToEdge::Catalog(_) => return,
-            ToEdge::Instances(..) => panic!("the back ends came before the catalog"),
+            ToEdge::Instances(..) => panic!("the back ends were sent before the catalog"),
             _ => {}
         }
     }
-    panic!("no catalog came");
+    panic!("no catalog was sent");
 }
 
 #[gtest]
@@ -101,7 +101,7 @@
 
 /// Guards against removing a daemon when its old connection closes while a new one is open.
 /// The test closes the old connection only after the answer to the hello on the new one, since
-/// control answers after it has registered the connection; before that, knowing no daemon is
+/// control answers after it has registered the connection; before that, an empty list is
 /// correct.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
@@ -110,7 +110,7 @@
     expect_that!(deployment.patch(&SEEDS, &first_items()).await, eq(200));
     let (_, old) = connect_as_edge(&deployment, 1).await;
     deployment
-        .wait_until("the first connection is known", || {
+        .wait_until("the first connection is registered", || {
             edges_at(&deployment, 1) == ["late"]
         })
         .await;
--- a/crates/coursestand-daemon/tests/following/daemon.rs
+++ b/crates/coursestand-daemon/tests/following/daemon.rs
@@ -71,22 +71,22 @@
     /// Starts a daemon whose time-outs and ages are computed with this clock.
     pub fn start_with(clock: MonotonicClock, seeds: &[SocketAddr]) -> Daemon {
         let state = Arc::new(state(clock));
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let record = EdgeRecord {
             name: "edge".to_owned(),
             incarnation: 1,
-            address: nowhere,
-            admin_address: nowhere,
+            address: unused_address,
+            admin_address: unused_address,
             zone: ZoneId::from("z-1"),
             region: RegionId::from("z"),
             phase: EdgePhase::Starting,
         };
-        let (seeds, seeds_seen) = watch::channel(seeds.to_vec());
+        let (seeds, seeds_receiver) = watch::channel(seeds.to_vec());
         let metrics = FollowerMetrics::new(&prometheus::Registry::new()).expect("metrics");
         let follower = EdgeFollower::new(
             Arc::clone(&state),
             record,
-            seeds_seen,
+            seeds_receiver,
             metrics,
             Arc::default(),
         );
@@ -131,7 +131,7 @@
     while !condition() {
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "not in time: {description}"
+            "timed out waiting for: {description}"
         );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/coursestand-daemon/tests/following/large_change.rs
+++ b/crates/coursestand-daemon/tests/following/large_change.rs
@@ -23,10 +23,10 @@
 const DELAY: Duration = Duration::from_millis(20);
 const ROUTES: usize = 1_400;
 /// The strictest bound on the time from the confirmation of a change until it is in force.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_000);
 /// The strictest bound after which a leaving back end gets no requests is 2 s; the remainder
 /// is for requests that are in flight.
-const DRAINING_KNOWN: Duration = Duration::from_millis(500);
+const MAX_DRAINING_DELAY: Duration = Duration::from_millis(500);
 
 fn backend_update(phase: InstancePhase, sequence: u64) -> InstanceUpdate {
     InstanceUpdate {
@@ -45,7 +45,7 @@
     }
 }
 
-fn known_phase(daemon: &Daemon) -> Option<InstancePhase> {
+fn backend_phase(daemon: &Daemon) -> Option<InstancePhase> {
     let routing = daemon.state.routing();
     let mut backends = routing.backends.iter();
     backends.next().map(|backend| backend.instance.phase)
@@ -59,7 +59,7 @@
 }
 
 /// Starts control processes that share the daemon's narrow link, and the daemon, and waits
-/// until it is ready and knows one back end.
+/// until it is ready and has one back end.
 async fn start_behind_narrow_link() -> (Vec<ScriptedControl>, Daemon) {
     let controls = start_controls(DELAY).await;
     let link = Arc::new(NarrowLink::new(LINK_BYTES_PER_SECOND));
@@ -71,7 +71,10 @@
     for control in &controls {
         control.send_backend_update(backend_update(InstancePhase::Ready, 1));
     }
-    time_until("the back end is known", || known_phase(&daemon).is_some()).await;
+    time_until("the daemon has the back end", || {
+        backend_phase(&daemon).is_some()
+    })
+    .await;
     (controls, daemon)
 }
 
@@ -89,14 +92,14 @@
     for control in &controls {
         control.send_backend_update(backend_update(InstancePhase::Draining, 2));
     }
-    let is_known = || known_phase(&daemon) != Some(InstancePhase::Ready);
-    let took = time_until("the draining is known", is_known).await;
-    expect_that!(took, lt(DRAINING_KNOWN));
+    let is_draining = || backend_phase(&daemon) != Some(InstancePhase::Ready);
+    let elapsed = time_until("the back end is draining", is_draining).await;
+    expect_that!(elapsed, lt(MAX_DRAINING_DELAY));
     time_until("the daemon has the change", || {
         daemon.catalog_version() >= change
     })
     .await;
-    expect_that!(applied_at.elapsed(), lt(IN_FORCE));
+    expect_that!(applied_at.elapsed(), lt(MAX_IN_FORCE_DELAY));
 }
 
 #[gtest]
@@ -112,9 +115,9 @@
     for control in &controls {
         control.apply(change + 1);
     }
-    let took = time_until("the daemon has the next change", || {
+    let elapsed = time_until("the daemon has the next change", || {
         daemon.catalog_version() > change
     })
     .await;
-    expect_that!(took, lt(IN_FORCE));
+    expect_that!(elapsed, lt(MAX_IN_FORCE_DELAY));
 }
--- a/crates/coursestand-daemon/tests/following/late_requests.rs
+++ b/crates/coursestand-daemon/tests/following/late_requests.rs
@@ -135,12 +135,12 @@
         control.apply_patch(&once_route(), FIRST_CHANGE + 1);
     }
     let front = free_address();
-    let (seeds, seeds_seen) = watch::channel(addresses(&controls));
+    let (seeds, seeds_receiver) = watch::channel(addresses(&controls));
     let edge = FleetEdge::new(
         settings(front),
         Arc::new(Native),
         MonotonicClock::default(),
-        seeds_seen,
+        seeds_receiver,
     );
     let registry = Arc::new(Registry::default());
     edge.start(&registry).await.expect("the daemon starts");
@@ -148,10 +148,10 @@
     for control in &controls {
         control.send_backend_update(backend_update(backend.address()));
     }
-    time_until("the back end is known", || {
+    time_until("the daemon has the back end", || {
         let dump = edge.dump();
         let backends = dump["backends"].as_array();
-        backends.is_some_and(|known| !known.is_empty())
+        backends.is_some_and(|backends| !backends.is_empty())
     })
     .await;
     let deployment = Deployment {
@@ -170,7 +170,7 @@
     id: String,
     status: u16,
     head: String,
-    took: Duration,
+    elapsed: Duration,
 }
 
 async fn request(front: SocketAddr, link: Arc<NarrowLink>, id: String) -> RequestOutcome {
@@ -191,7 +191,7 @@
         id,
         status: head[9..12].parse().expect("a status"),
         head,
-        took: started.elapsed(),
+        elapsed: started.elapsed(),
     }
 }
 
@@ -253,7 +253,7 @@
     let unanswered = |after: Duration| {
         outcomes
             .iter()
-            .filter(|outcome| outcome.took > after)
+            .filter(|outcome| outcome.elapsed > after)
             .count()
     };
     let at_timeout = unanswered(ROUTE_TIMEOUT);
@@ -280,7 +280,7 @@
             outcome.id
         );
         expect_that!(
-            outcome.took,
+            outcome.elapsed,
             lt(delay + Duration::from_millis(300)),
             "{}",
             outcome.id
--- a/crates/coursestand-daemon/tests/following/scripted_control.rs
+++ b/crates/coursestand-daemon/tests/following/scripted_control.rs
@@ -1,5 +1,5 @@
-//! Scripted control processes: each sends what the test has it apply, with a network delay,
-//! and can silence its open connections for good.
+//! Scripted control processes: each sends the changes that the test applies to it, with a
+//! network delay, and can stop sending on its open connections permanently.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,9 +28,9 @@
 
 struct Script {
     catalog: Catalog,
-    reach: Option<LogExtent>,
+    log_extent: Option<LogExtent>,
     group: ControlGroup,
-    /// Time by which all messages after the group are delayed on a new connection.
+    /// Delay of all messages that follow the member list on a new connection.
     table_delay: Duration,
     /// Names of the entry daemons in the table.
     names: Vec<String>,
@@ -76,7 +76,7 @@
             address,
             script: Arc::new(Mutex::new(Script {
                 catalog,
-                reach: Some(LogExtent {
+                log_extent: Some(LogExtent {
                     end: FIRST_CHANGE,
                     applied: FIRST_CHANGE,
                 }),
@@ -118,17 +118,17 @@
         };
     }
 
-    /// Sets the names in the table of entry daemons, and how long sending it takes.
+    /// Sets the names in the table of entry daemons, and the delay with which it is sent.
     pub fn set_table(&self, delay: Duration, names: Vec<String>) {
         let mut script = self.script();
         script.table_delay = delay;
         script.names = names;
     }
 
-    /// Appends the entry `index` to the log, without knowing it to be committed.
+    /// Appends the entry `index` to the log, uncommitted.
     pub fn append(&self, index: u64) {
-        if let Some(reach) = &mut self.script().reach {
-            reach.end = index;
+        if let Some(extent) = &mut self.script().log_extent {
+            extent.end = index;
         }
     }
 
@@ -142,7 +142,7 @@
         {
             let mut script = self.script();
             script.catalog.merge(patch, index).expect("valid");
-            script.reach = Some(LogExtent {
+            script.log_extent = Some(LogExtent {
                 end: index,
                 applied: index,
             });
@@ -160,7 +160,7 @@
         self.updates.send_modify(|all| all.push(update));
     }
 
-    /// Silences all open connections for good; new ones work.
+    /// Stops sending on all open connections permanently; new ones work.
     pub fn silence_connections(&self) {
         let accepted = self.accepted.load(Ordering::SeqCst);
         self.silent_up_to.store(accepted, Ordering::SeqCst);
@@ -236,7 +236,7 @@
     let receiving = tokio::spawn(receive(receiver, incoming, delay));
     let sending = tokio::spawn(send(sender, to_send, shared.clone()));
     let mut distribution = CatalogDistribution::new(0);
-    let ready = CatalogUpdates::default();
+    let catalog_updates = CatalogUpdates::default();
     let mut sent_updates = shared.updates.borrow().len();
     let mut table_sent_at = Instant::now();
     loop {
@@ -263,12 +263,12 @@
                     let removed = Vec::new();
                     replies.push(ToEdge::Edges(EdgeChanges { added, removed }));
                 }
-                let reach = shared.script().reach;
+                let reach = shared.script().log_extent;
                 replies.extend(catalog_replies(
                     &message,
                     &shared,
                     &mut distribution,
-                    &ready,
+                    &catalog_updates,
                 ));
                 if matches!(message, ToControl::EdgePing(_)) {
                     let catalog = shared.script().catalog.version();
@@ -277,7 +277,11 @@
             }
             None if receiving.is_finished() => break,
             None => {
-                replies.extend(next_catalog_message(&shared, &mut distribution, &ready));
+                replies.extend(next_catalog_message(
+                    &shared,
+                    &mut distribution,
+                    &catalog_updates,
+                ));
                 replies.extend(unsent_updates(&mut shared.updates, &mut sent_updates));
             }
         }
@@ -310,7 +314,7 @@
     message: &ToControl,
     shared: &Shared,
     distribution: &mut CatalogDistribution,
-    ready: &CatalogUpdates,
+    catalog_updates: &CatalogUpdates,
 ) -> Vec<ToEdge> {
     let script = shared.script();
     let read = |since| script.catalog.steering_delta(since);
@@ -323,7 +327,7 @@
         | ToControl::HaveCatalog(catalog_version) => distribution.note_version(*catalog_version),
         ToControl::FetchCatalog(have) => {
             let fetched = distribution
-                .fetch(*have, version, ready, read)
+                .fetch(*have, version, catalog_updates, read)
                 .expect("encoded");
             replies.extend(fetched.into_iter().map(message_of));
         }
@@ -332,10 +336,10 @@
         }
         _ => {}
     }
-    let distribution = distribution
-        .next_message(version, ready, read)
+    let next = distribution
+        .next_message(version, catalog_updates, read)
         .expect("encoded");
-    replies.extend(distribution.map(message_of));
+    replies.extend(next.map(message_of));
     replies
 }
 
@@ -350,10 +354,11 @@
 fn next_catalog_message(
     shared: &Shared,
     distribution: &mut CatalogDistribution,
-    ready: &CatalogUpdates,
+    catalog_updates: &CatalogUpdates,
 ) -> Option<ToEdge> {
     let script = shared.script();
     let read = |since| script.catalog.steering_delta(since);
-    let catalog_message = distribution.next_message(script.catalog.version(), ready, read);
+    let catalog_message =
+        distribution.next_message(script.catalog.version(), catalog_updates, read);
     catalog_message.expect("encoded").map(message_of)
 }
--- a/crates/coursestand-daemon/tests/following/stale_catalog.rs
+++ b/crates/coursestand-daemon/tests/following/stale_catalog.rs
@@ -25,11 +25,11 @@
         for control in &controls {
             control.apply(change);
         }
-        let took = time_until("the daemon has the change", || {
+        let elapsed = time_until("the daemon has the change", || {
             daemon.catalog_version() >= change
         })
         .await;
-        expect_that!(took, lt(delay + Duration::from_millis(500)));
+        expect_that!(elapsed, lt(delay + Duration::from_millis(500)));
     }
     let accepted: u64 = controls.iter().map(ScriptedControl::accepted).sum();
     // The daemon may reconnect a few times until its time-out fits the link.
@@ -50,12 +50,12 @@
         for control in &controls {
             control.apply(change);
         }
-        let took = time_until("the daemon has the change", || {
+        let elapsed = time_until("the daemon has the change", || {
             daemon.catalog_version() >= change
         })
         .await;
         // Half a second less than the shortest time in which a change must be in force.
-        expect_that!(took, lt(Duration::from_millis(1_500)), "change {change}");
+        expect_that!(elapsed, lt(Duration::from_millis(1_500)), "change {change}");
         // The connections fall silent at another phase of the ping interval each time.
         tokio::time::sleep(Duration::from_millis(1_130)).await;
     }
@@ -72,7 +72,7 @@
     }
     let daemon = Daemon::start(&addresses(&controls[..3]));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    // None of the three has applied it, and the two that don't hold it are no majority.
+    // None of the three has applied it, and the two without it are no majority.
     expect_that!(daemon.is_ready(), eq(false));
     controls[0].apply(change);
     time_until("the daemon is ready", || daemon.is_ready()).await;
@@ -129,7 +129,8 @@
     let daemon = Daemon::start(&addresses(&controls));
     time_until("the daemon is ready", || daemon.is_ready()).await;
     let accepted: u64 = controls.iter().map(ScriptedControl::accepted).sum();
-    // A second connection each while the table is being sent on the first, and a margin.
+    // Up to two connections per control process, since a second one may be opened while the
+    // table is being sent on the first, and a margin.
     expect_that!(accepted, le(4 * CONTROLS as u64));
 }
 
@@ -143,7 +144,7 @@
     }
     let daemon = Daemon::start(&addresses(&controls));
     let count = || daemon.state.routing().daemons.len();
-    time_until("the list is there", || count() == 65).await;
+    time_until("the daemon has the list", || count() == 65).await;
     time_until("the daemon is ready", || daemon.is_ready()).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for control in &controls {
--- a/crates/coursestand-daemon/tests/following/suspended.rs
+++ b/crates/coursestand-daemon/tests/following/suspended.rs
@@ -18,7 +18,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_to_what_was_sent_before_a_suspension_proves_no_connection() {
+async fn an_answer_to_a_ping_sent_before_a_suspension_proves_no_connection() {
     let controls = start_controls(DELAY).await;
     let (clock, suspension) = MonotonicClock::with_simulated_suspensions();
     let daemon = Daemon::start_with(clock, &addresses(&controls));
--- a/crates/coursestand-daemon/tests/leader_search.rs
+++ b/crates/coursestand-daemon/tests/leader_search.rs
@@ -1,5 +1,5 @@
-//! Guards against concurrent requests that skip the leader: each of them moved the shared
-//! position past an unreachable replica, so that together they came back to it.
+//! Guards against concurrent requests that skip the leader: if each of them advances the shared
+//! position past an unreachable replica, together they return to it.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A replica that doesn't know the leader and counts its requests.
+/// A replica that is not the leader, names none, and counts its requests.
 #[derive(Default)]
 struct FollowerReplica {
     received: AtomicUsize,
@@ -61,7 +61,7 @@
     let following = Arc::new(FollowerReplica::default());
     let _following = Server::start(other, 16, Arc::clone(&following)).expect("listens");
     // As many concurrent requests as replicas: if each advanced the position separately, it
-    // would come back to the unreachable replica, and later requests would start there.
+    // would return to the unreachable replica, and later requests would start there.
     let client = Arc::new(ControlClient::new(&[unreachable, leader, other]).expect("a client"));
     for _ in 0..3 {
         let requests = (0..3).map(|_| {
--- a/crates/coursestand-daemon/tests/reload.rs
+++ b/crates/coursestand-daemon/tests/reload.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use tokio::sync::{Notify, watch};
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn settings(seed: &str) -> String {
     serde_json::json!({
@@ -30,7 +30,7 @@
 async fn wait_for(seeds: &mut watch::Receiver<Vec<SocketAddr>>, seed: &str) {
     let seed: SocketAddr = seed.parse().expect("an address");
     let has_seed = |seeds: &Vec<SocketAddr>| seeds.contains(&seed);
-    tokio::time::timeout(WITHIN, seeds.wait_for(has_seed))
+    tokio::time::timeout(TEST_TIMEOUT, seeds.wait_for(has_seed))
         .await
         .expect("in time")
         .expect("followed");
--- a/crates/coursestand-daemon/tests/repeats/main.rs
+++ b/crates/coursestand-daemon/tests/repeats/main.rs
@@ -72,7 +72,7 @@
 
 /// Guards against daemons that start with their full share of the fixed retry allowance: if
 /// they are killed and restarted, each incarnation spends that share again, and the share is
-/// too large as long as a daemon knows fewer daemons than run. A daemon starts without a share
+/// too large while the daemon's list of daemons is incomplete. A daemon starts without a share
 /// and leases one once no earlier incarnation can spend from it. The rate of requests is low,
 /// since at ten times the rate the retries that requests earn hide the fault.
 #[gtest]
@@ -87,13 +87,13 @@
 }
 
 /// Guards against retries that arrive late in one burst, when back ends that were suspended
-/// for 35 s continue. A suspended back end reads nothing, but its kernel buffers what was sent
-/// to it, also on connections that are closed by now. If retries counted only when they were
+/// for 35 s resume. A suspended back end reads nothing, but its kernel buffers what was sent
+/// to it, also on connections that have been closed since. If retries counted only when they were
 /// granted, those of four windows of ten seconds could arrive in one. An abandoned copy
 /// therefore withholds a retry until it has arrived or can't arrive.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn back_ends_that_continue_get_no_more_repeats_than_in_any_other_window() {
+async fn resumed_back_ends_get_no_more_repeats_than_in_any_other_window() {
     let names = ["back-ends-stopped", "answering-back-ends-stopped"];
     expect_within_bound(&names.map(str::to_owned)).await;
 }
--- a/crates/coursestand-daemon/tests/repeats/rate_limits.rs
+++ b/crates/coursestand-daemon/tests/repeats/rate_limits.rs
@@ -9,21 +9,21 @@
 use crate::run;
 use crate::scenario::{LIMIT_PER_SECOND, Outcome};
 
-/// Time after which every daemon knows the limit.
-const LIMIT_KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// Time after which every daemon has received the rate limit.
+const LIMIT_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 const WINDOWS: [Duration; 4] = [
     Duration::from_secs(1),
     Duration::from_secs(2),
     Duration::from_secs(4),
     Duration::from_secs(10),
 ];
-/// The bound while no process restarts.
+/// Bound that holds while no process restarts.
 const STRICT: RateBound = RateBound {
     per_second: LIMIT_PER_SECOND,
     factor: 1.1,
     slack: 2.0,
 };
-/// The bound in all cases.
+/// Bound that also holds while processes are killed and suspended.
 const WIDE: RateBound = RateBound {
     per_second: LIMIT_PER_SECOND,
     factor: 1.5,
@@ -31,20 +31,21 @@
 };
 /// Share of the limit that must be used when the demand is higher.
 const MIN_USE: f64 = 0.8;
-/// Upper bound on the time to refuse a request that can't be served.
-const REFUSED_WITHIN: Duration = Duration::from_millis(500);
+/// Maximum time to refuse a request that can't be served.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(500);
 
-/// Returns the arrivals at a back end after the limit is known.
+/// Returns the arrivals at a back end after all daemons have received the rate limit.
 fn arrivals_under_limit(outcome: &Outcome, backend: usize) -> Vec<Instant> {
-    let since = outcome.started + LIMIT_KNOWN_AFTER;
+    let since = outcome.started + LIMIT_PROPAGATION_TIME;
     let arrivals = outcome.arrivals[backend].iter().copied();
     arrivals.filter(|at| *at >= since).collect()
 }
 
-/// Returns the rate of requests to a back end after the limit is known, per second.
+/// Returns the rate of requests to a back end after all daemons have received the rate limit,
+/// per second.
 fn rate(outcome: &Outcome, backend: usize, seconds: f64) -> f64 {
     arrivals_under_limit(outcome, backend).len() as f64
-        / (seconds - LIMIT_KNOWN_AFTER.as_secs_f64())
+        / (seconds - LIMIT_PROPAGATION_TIME.as_secs_f64())
 }
 
 /// Returns the windows of limited back ends that exceed the bound.
@@ -92,13 +93,13 @@
         .map(|number| rate(&outcome, number, 16.0))
         .sum();
     expect_that!(used, ge(LIMIT_PER_SECOND * MIN_USE * limited as f64));
-    let since = outcome.started + LIMIT_KNOWN_AFTER;
+    let since = outcome.started + LIMIT_PROPAGATION_TIME;
     let refused = outcome.answers.iter();
     let refused = refused.filter(|answer| answer.status == 503 && answer.sent_at >= since);
     let refused: Vec<_> = refused.collect();
     expect_that!(refused.len(), gt(0));
-    let slowest = refused.iter().map(|answer| answer.took).max();
-    expect_that!(slowest, some(le(REFUSED_WITHIN)));
+    let slowest = refused.iter().map(|answer| answer.elapsed).max();
+    expect_that!(slowest, some(le(MAX_REFUSAL_TIME)));
     let have_retry_after = refused.iter().all(|answer| answer.retry_after.is_some());
     expect_that!(have_retry_after, eq(true));
 }
--- a/crates/coursestand-daemon/tests/repeats/scenario.rs
+++ b/crates/coursestand-daemon/tests/repeats/scenario.rs
@@ -24,7 +24,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Time within which heartbeats of all back ends arrive.
 const HEARTBEATS_RECEIVED_AFTER: Duration = Duration::from_millis(1_500);
-/// Time within which a back end that continues has read the buffered requests.
+/// Time within which a resumed back end has read the buffered requests.
 const DRAINED_AFTER: Duration = Duration::from_millis(1_500);
 /// Time-out of the callers, longer than that of the route.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -34,13 +34,13 @@
 
 /// How back ends handle requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Backends {
+pub enum BackendBehaviour {
     /// Run each request, and answer 503 without the proof that it was not run.
     Fail,
     /// Lose this percentage of the answers.
     Lose(u32),
-    /// Crash under the fatal request, which is one of this many requests.
-    CrashUnderOneOf(usize),
+    /// Crash on the fatal request, which is one of this many requests.
+    CrashOnOneOf(usize),
     /// Answer with 200; this many back ends report a rate limit in each answer.
     ReportLimit(usize),
 }
@@ -61,19 +61,19 @@
     KillDaemon(u8),
     /// Starts the entry daemon with this number, which has not run before.
     StartDaemon(u8),
-    /// Suspends all entry daemons by a signal.
+    /// Suspends all entry daemons with SIGSTOP.
     StopDaemons,
-    /// Continues all entry daemons.
+    /// Resumes all entry daemons.
     ContinueDaemons,
     /// Kills and restarts all control processes.
     KillControl,
-    /// Suspends all control processes but the first by a signal.
+    /// Suspends all control processes but the first with SIGSTOP.
     StopControl,
-    /// Continues the control processes.
+    /// Resumes the control processes.
     ContinueControl,
     /// Suspends half of the back ends.
     StopBackends,
-    /// Continues the back ends.
+    /// Resumes the back ends.
     ContinueBackends,
 }
 
@@ -85,7 +85,7 @@
     /// Number of entry daemons that are started before the first request.
     pub initial_daemons: u8,
     pub backends: usize,
-    pub behaviour: Backends,
+    pub behaviour: BackendBehaviour,
     pub requests_per_second: f64,
     pub seconds: f64,
     /// Events with their times in seconds, sorted by time.
@@ -116,7 +116,7 @@
 pub struct ReceivedAnswer {
     /// When the request was sent.
     pub sent_at: Instant,
-    pub took: Duration,
+    pub elapsed: Duration,
     /// 0 when there was no answer.
     pub status: u16,
     /// The `retry-after` time of the answer.
@@ -198,7 +198,7 @@
         }
     }
 
-    fn arrived(&self) -> Vec<Arrival> {
+    fn arrivals(&self) -> Vec<Arrival> {
         self.backends
             .iter()
             .flat_map(ScriptedBackend::recorded_arrivals)
@@ -219,28 +219,30 @@
 }
 
 fn arrivals_at(backend: &ScriptedBackend) -> Vec<Instant> {
-    let arrived = backend.recorded_arrivals();
-    arrived.into_iter().map(|arrival| arrival.at).collect()
+    let arrivals = backend.recorded_arrivals();
+    arrivals.into_iter().map(|arrival| arrival.at).collect()
 }
 
-async fn start_backend(behaviour: Backends, number: usize) -> ScriptedBackend {
+async fn start_backend(behaviour: BackendBehaviour, number: usize) -> ScriptedBackend {
     let started = match behaviour {
-        Backends::Fail => ScriptedBackend::start(vec![], Behaviour::UnprovenRefusal).await,
-        Backends::Lose(percent) => {
+        BackendBehaviour::Fail => ScriptedBackend::start(vec![], Behaviour::UnprovenRefusal).await,
+        BackendBehaviour::Lose(percent) => {
             let mut random = StdRng::seed_from_u64(number as u64);
             let script = (0..SCRIPT_LENGTH).map(|_| match random.random_range(0..100) {
-                drawn if drawn < percent => Behaviour::CloseWithoutAnswer,
+                value if value < percent => Behaviour::CloseWithoutAnswer,
                 _ => Behaviour::Answer(200),
             });
             ScriptedBackend::start(script.collect(), Behaviour::Answer(200)).await
         }
-        Backends::CrashUnderOneOf(_) => {
+        BackendBehaviour::CrashOnOneOf(_) => {
             ScriptedBackend::start(vec![], Behaviour::CrashOn(FATAL_PATH)).await
         }
-        Backends::ReportLimit(limited) if number < limited => {
+        BackendBehaviour::ReportLimit(limited) if number < limited => {
             ScriptedBackend::start(vec![], LIMITED_ANSWER).await
         }
-        Backends::ReportLimit(_) => ScriptedBackend::start(vec![], Behaviour::Answer(200)).await,
+        BackendBehaviour::ReportLimit(_) => {
+            ScriptedBackend::start(vec![], Behaviour::Answer(200)).await
+        }
     };
     started.expect("a back end")
 }
@@ -281,13 +283,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Load {
     per_second: f64,
-    behaviour: Backends,
+    behaviour: BackendBehaviour,
 }
 
 impl Load {
     fn path(&self, number: usize) -> String {
         match self.behaviour {
-            Backends::CrashUnderOneOf(count) if number.is_multiple_of(count) => {
+            BackendBehaviour::CrashOnOneOf(count) if number.is_multiple_of(count) => {
                 FATAL_PATH.to_owned()
             }
             _ => format!("/safe/{number}"),
@@ -337,7 +339,7 @@
     let status = answer.as_ref().map(|answer| answer.status().as_u16());
     lock(&record).answers.push(ReceivedAnswer {
         sent_at,
-        took: sent_at.elapsed(),
+        elapsed: sent_at.elapsed(),
         status: status.unwrap_or_default(),
         retry_after: answer.as_ref().and_then(retry_after_of),
     });
@@ -393,7 +395,7 @@
             system.start(*host, true);
         }
         let status = system.deployment.patch(&CONTROLS, &first_items()).await;
-        assert_eq!(status, 200, "the first items were refused");
+        assert_eq!(status, 200, "the first items were rejected");
         for number in 0..self.backends {
             system
                 .backends
@@ -424,13 +426,13 @@
         callers.await.expect("no panic in the callers");
         tokio::time::sleep(DRAINED_AFTER).await;
         heartbeats.abort();
-        let arrived = system.arrived();
+        let arrivals = system.arrivals();
         let record = lock(&record);
         Outcome {
             sent: record.sent.len(),
             served: record.served(),
-            repeats: repeats(&arrived).len(),
-            worst: worst_window(self.bound(), &arrived, &record.sent),
+            repeats: repeats(&arrivals).len(),
+            worst: worst_window(self.bound(), &arrivals, &record.sent),
             crashed: system
                 .backends
                 .iter()
--- a/crates/coursestand-daemon/tests/repeats/scenarios.rs
+++ b/crates/coursestand-daemon/tests/repeats/scenarios.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use crate::scenario::{Backends, Event, Scenario};
+use crate::scenario::{BackendBehaviour, Event, Scenario};
 
 /// A scenario without faults.
-pub fn quiet(name: &str) -> Scenario {
+pub fn without_faults(name: &str) -> Scenario {
     Scenario {
         name: name.to_owned(),
         daemons: 12,
         initial_daemons: 12,
         backends: 6,
-        behaviour: Backends::Fail,
+        behaviour: BackendBehaviour::Fail,
         requests_per_second: 60.0,
         seconds: 10.0,
         events: Vec::new(),
@@ -32,7 +32,7 @@
 pub fn scenarios() -> BTreeMap<String, Scenario> {
     let mut scenarios = Vec::new();
     let mut add = |name: &str, change: &dyn Fn(&mut Scenario)| {
-        let mut scenario = quiet(name);
+        let mut scenario = without_faults(name);
         change(&mut scenario);
         scenario
             .events
@@ -112,13 +112,13 @@
     add("answering-back-ends-stopped", &|scenario| {
         scenario.seconds = 40.0;
         scenario.backends = 12;
-        scenario.behaviour = Backends::Lose(5);
+        scenario.behaviour = BackendBehaviour::Lose(5);
         scenario.events = vec![(2.0, Event::StopBackends), (37.0, Event::ContinueBackends)];
     });
     add("answering-back-ends-stopped-again-and-again", &|scenario| {
         scenario.seconds = 60.0;
         scenario.backends = 12;
-        scenario.behaviour = Backends::Lose(5);
+        scenario.behaviour = BackendBehaviour::Lose(5);
         scenario.requests_per_second = 120.0;
         scenario.events = every(8.0, 60.0, Event::StopBackends);
         let continues = every(8.0, 60.0, Event::ContinueBackends);
@@ -131,7 +131,7 @@
         scenario.initial_daemons = 5;
         scenario.backends = 40;
         // 21 is no multiple of five, so that all five daemons get the request in turn.
-        scenario.behaviour = Backends::CrashUnderOneOf(21);
+        scenario.behaviour = BackendBehaviour::CrashOnOneOf(21);
         scenario.seconds = 12.0;
         scenario.events = (2..22u8)
             .map(|number| (f64::from(number) * 0.5, Event::KillDaemon(number % 5)))
@@ -143,7 +143,7 @@
         scenario.events.push((6.2, Event::KillControl));
     });
     let limited = |scenario: &mut Scenario| {
-        scenario.behaviour = Backends::ReportLimit(1);
+        scenario.behaviour = BackendBehaviour::ReportLimit(1);
         scenario.requests_per_second = 190.0;
         scenario.seconds = 16.0;
     };
@@ -158,7 +158,7 @@
     add("limited", &limited);
     add("all-limited", &|scenario| {
         limited(scenario);
-        scenario.behaviour = Backends::ReportLimit(scenario.backends);
+        scenario.behaviour = BackendBehaviour::ReportLimit(scenario.backends);
     });
     add("limited-many-daemons", &|scenario| {
         limited(scenario);
--- a/crates/coursestand-daemon/tests/request_path.rs
+++ b/crates/coursestand-daemon/tests/request_path.rs
@@ -211,7 +211,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_back_end_gets_no_new_requests_and_completes_its_own() {
+async fn a_leaving_back_end_gets_no_new_requests_and_completes_those_in_flight() {
     let mut fleet = Fleet::start(5, |_| {}).await;
     let delay = Duration::from_secs(2);
     let finished = load_with_fault(&mut fleet, 8, delay, async |fleet| {
@@ -257,9 +257,9 @@
     let tasks: Vec<_> = (1..=12_u16)
         .map(|number| {
             let client = Deployment::client_address(zone, number);
-            let patience = Duration::from_secs(20);
+            let timeout = Duration::from_secs(20);
             let mut request =
-                default_request("bunkview", client, &format!("{token}-{number}"), patience);
+                default_request("bunkview", client, &format!("{token}-{number}"), timeout);
             request.work_ms = Some(800);
             let caller = std::sync::Arc::clone(&caller);
             tokio::spawn(async move { caller.run(request, std::time::Instant::now()).await })
--- a/crates/coursestand-daemon/tests/shifting.rs
+++ b/crates/coursestand-daemon/tests/shifting.rs
@@ -44,29 +44,29 @@
 /// that starts in a zone is its share of the offered load.
 async fn offer_load(fleet: &Fleet, seconds: u64) -> Vec<RequestOutcome> {
     let caller = fleet.caller();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
     for number in 0..RATE * seconds {
-        let planned = began + Duration::from_millis(number * 1000 / RATE);
-        tokio::time::sleep_until(planned.into()).await;
+        let planned_start = started_at + Duration::from_millis(number * 1000 / RATE);
+        tokio::time::sleep_until(planned_start.into()).await;
         let caller = Arc::clone(&caller);
         let token = format!("shift-{number}");
-        let patience = Duration::from_millis(900);
+        let timeout = Duration::from_millis(900);
         let request = default_request(
             SERVICE,
             format!("10.1.0.{}", number % 200 + 1),
             &token,
-            patience,
+            timeout,
         );
         tasks.push(tokio::spawn(async move {
-            caller.run(request, planned).await.outcome
+            caller.run(request, planned_start).await.outcome
         }));
     }
-    let mut findings = Vec::new();
+    let mut outcomes = Vec::new();
     for task in tasks {
-        findings.push(task.await.expect("the request ends"));
+        outcomes.push(task.await.expect("the request ends"));
     }
-    findings
+    outcomes
 }
 
 /// Returns the largest growth of any zone's share from one window to the next.
@@ -108,15 +108,15 @@
         let target = DrainTarget::Zone(ORIGIN.into());
         fleet.order(OrderAction::Drain { target }).await;
     };
-    let (findings, ()) = tokio::join!(offer_load(&fleet, 20), drain);
+    let (outcomes, ()) = tokio::join!(offer_load(&fleet, 20), drain);
     let (growth, buckets) = largest_growth(&fleet);
     expect_that!(growth, le(allowed_growth()), "{buckets:?}");
     let last_complete = buckets.len().saturating_sub(2);
     let (_, zones) = buckets.iter().nth(last_complete).expect("a bucket");
     expect_that!(zones.get(ORIGIN), none(), "the zone is empty: {buckets:?}");
-    let unknown = findings
+    let unknown = outcomes
         .iter()
-        .filter(|finding| **finding == RequestOutcome::Unknown)
+        .filter(|outcome| **outcome == RequestOutcome::Unknown)
         .count();
     expect_that!(unknown, eq(0));
 }
@@ -141,7 +141,7 @@
     // A new leader confirms nothing while leases of its predecessor may be valid.
     tokio::time::sleep(Duration::from_millis(LEASE_MS)).await;
     let target = DrainTarget::Zone(ORIGIN.into());
-    let began = Instant::now();
+    let started_at = Instant::now();
     fleet.order(OrderAction::Drain { target }).await;
     common::until("the zone has no share", || async {
         !has_share(&fleet, ORIGIN).await
@@ -149,8 +149,8 @@
     .await;
     let steps = FULL_SHARE.div_ceil(SHARE_BP);
     let windows = Duration::from_millis(WINDOW_MS) * (steps - 1);
-    expect_that!(began.elapsed(), ge(windows));
-    expect_that!(began.elapsed(), le(windows + CONFIRMATION_TIME));
+    expect_that!(started_at.elapsed(), ge(windows));
+    expect_that!(started_at.elapsed(), le(windows + CONFIRMATION_TIME));
 }
 
 #[gtest]
@@ -171,25 +171,25 @@
         let signed = fleet.operator.sign_bundle(&next).expect("signed");
         let submitted = fleet
             .operator
-            .submit_bundle(signed, 1, "second", common::WITHIN)
+            .submit_bundle(signed, 1, "second", common::TEST_TIMEOUT)
             .await;
         submitted.expect("an answer");
         tokio::time::sleep(Duration::from_secs(3)).await;
         fleet.order(OrderAction::Roll { revision: 1 }).await;
     };
-    let (findings, ()) = tokio::join!(offer_load(&fleet, 20), faults);
+    let (outcomes, ()) = tokio::join!(offer_load(&fleet, 20), faults);
     let (growth, buckets) = largest_growth(&fleet);
     expect_that!(growth, le(allowed_growth()), "{buckets:?}");
     // Requests beyond the cap are reported as not run; in the end nearly all are served.
-    let not_run = findings
+    let not_run = outcomes
         .iter()
-        .filter(|finding| **finding == RequestOutcome::NotRun)
+        .filter(|outcome| **outcome == RequestOutcome::NotRun)
         .count();
     expect_that!(not_run, gt(0));
-    let tail = &findings[findings.len() - RATE as usize..];
+    let tail = &outcomes[outcomes.len() - RATE as usize..];
     let served = tail
         .iter()
-        .filter(|finding| **finding == RequestOutcome::Answered)
+        .filter(|outcome| **outcome == RequestOutcome::Answered)
         .count();
     expect_that!(served * 10, ge(tail.len() * 9), "{buckets:?}");
 }
--- a/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/ended_leases.rs
@@ -26,7 +26,7 @@
 use ed25519_dalek::SigningKey;
 use googletest::prelude::*;
 
-use crate::group::{Group, POLL_INTERVAL, WITHIN};
+use crate::group::{Group, POLL_INTERVAL, TEST_TIMEOUT};
 
 const DEADLINE_MS: u64 = 500;
 const OPERATOR: &str = "ada";
@@ -152,7 +152,7 @@
     };
     let started = Instant::now();
     while follower.slots().is_empty() {
-        assert!(started.elapsed() < WITHIN, "no slots assigned");
+        assert!(started.elapsed() < TEST_TIMEOUT, "no slots assigned");
         follower.request_lease(&exchange).await;
     }
     // The daemon is suspended until its lease and its longest request have ended. The
@@ -167,7 +167,7 @@
     // that the lease covers.
     let resumed_at = Instant::now();
     while !follower.request_lease(&exchange).await {
-        assert!(resumed_at.elapsed() < WITHIN, "no lease granted");
+        assert!(resumed_at.elapsed() < TEST_TIMEOUT, "no lease granted");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     let leased_at = Instant::now();
--- a/crates/coursestand-daemon/tests/slow_disk/group.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/group.rs
@@ -26,7 +26,7 @@
 pub const REPLICAS: [ReplicaId; 3] = [1, 2, 3];
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Maximum wait, far longer than expected.
-pub const WITHIN: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An in-memory disk whose syncs block while it stalls.
 #[derive(Clone, Default)]
@@ -170,7 +170,7 @@
             if let Some(leader) = self.leader() {
                 return leader;
             }
-            assert!(started.elapsed() < WITHIN, "no leader");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no leader");
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -180,14 +180,17 @@
     pub async fn change(&self, is_active: bool) -> Duration {
         let started = Instant::now();
         loop {
-            assert!(started.elapsed() < WITHIN, "no change was committed");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no change was committed");
             if let Some(leader) = self.leader() {
                 let command = Command::Evacuate {
                     zone: ZoneId::from("z"),
                     is_active,
                 };
                 let proposed = self.members[&leader].control.propose(command);
-                if matches!(tokio::time::timeout(WITHIN, proposed).await, Ok(Ok(_))) {
+                if matches!(
+                    tokio::time::timeout(TEST_TIMEOUT, proposed).await,
+                    Ok(Ok(_))
+                ) {
                     return started.elapsed();
                 }
             }
--- a/crates/coursestand-daemon/tests/slow_disk/main.rs
+++ b/crates/coursestand-daemon/tests/slow_disk/main.rs
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 use group::{Group, REPLICAS};
 
-/// Disk stalls of this length have been observed.
+/// Disks can stall for this long.
 const STALL: Duration = Duration::from_millis(4_400);
 
 #[gtest]
@@ -26,9 +26,9 @@
     }
     let changing = group.change(false);
     let monitoring = group.longest_without_leader(STALL);
-    let (took, without_leader) = tokio::join!(changing, monitoring);
+    let (elapsed, without_leader) = tokio::join!(changing, monitoring);
     // The change is committed once the disks recover; the leader lease needs no disk.
-    expect_that!(took, lt(STALL + Duration::from_secs(1)));
+    expect_that!(elapsed, lt(STALL + Duration::from_secs(1)));
     expect_that!(without_leader, lt(Duration::from_millis(200)));
 }
 
@@ -41,11 +41,11 @@
     group.members[&leader].disk.stall(STALL);
     // The first proposal may be lost with the old leader and is retried.
     let first = tokio::time::timeout(Duration::from_millis(2_500), group.change(false)).await;
-    let took = match first {
-        Ok(took) => took,
+    let elapsed = match first {
+        Ok(elapsed) => elapsed,
         Err(_) => group.change(false).await,
     };
-    expect_that!(took, lt(Duration::from_millis(2_500)));
+    expect_that!(elapsed, lt(Duration::from_millis(2_500)));
     expect_that!(group.leader(), not(some(eq(leader))));
 }
 
@@ -59,8 +59,8 @@
     let follower = &group.members[&follower.expect("another one")];
     follower.disk.stall(STALL);
     for round in 0..10 {
-        let took = group.change(round % 2 == 0).await;
-        expect_that!(took, lt(Duration::from_millis(500)));
+        let elapsed = group.change(round % 2 == 0).await;
+        expect_that!(elapsed, lt(Duration::from_millis(500)));
     }
     expect_that!(group.leader(), some(eq(leader)));
 }
--- a/crates/coursestand-daemon/tests/soak/callers.rs
+++ b/crates/coursestand-daemon/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests over kept connections and record the answers.
+//! Callers that send requests over persistent connections and record the answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SentRequest {
     pub id: String,
-    /// When it was sent; `None` in hand-made requests.
+    /// When it was sent; `None` in requests that a test constructs.
     pub at: Option<Instant>,
     /// 0 when there was no answer.
     pub status: u16,
--- a/crates/coursestand-daemon/tests/soak/hangup.rs
+++ b/crates/coursestand-daemon/tests/soak/hangup.rs
@@ -9,9 +9,9 @@
 use crate::deployment::{Deployment, TEST_TIMEOUT};
 use crate::processes::Processes;
 
-/// Set in the process that gets the signal.
-const HOLD: &str = "COURSESTAND_SOAK_HOLD";
-const STARTED: &str = "started process ";
+/// Environment variable that is set in the process that gets the signal.
+const HOLD_VARIABLE: &str = "COURSESTAND_SOAK_HOLD";
+const STARTED_PREFIX: &str = "started process ";
 
 fn is_running(id: u32) -> bool {
     std::path::Path::new(&format!("/proc/{id}")).exists()
@@ -22,13 +22,13 @@
 #[gtest]
 #[tokio::test]
 async fn holds_a_process_until_hangup() {
-    if std::env::var_os(HOLD).is_none() {
+    if std::env::var_os(HOLD_VARIABLE).is_none() {
         return;
     }
     let deployment = Deployment::new(&[1]);
     let mut processes = Processes::new(&deployment.data_folder(0));
     processes.start(1, &deployment.control_settings(1, true));
-    println!("{STARTED}{}", processes.id(1));
+    println!("{STARTED_PREFIX}{}", processes.id(1));
     tokio::time::sleep(TEST_TIMEOUT).await;
 }
 
@@ -38,7 +38,7 @@
 async fn a_soak_kills_its_processes_on_hangup() {
     let mut soak = Command::new(std::env::current_exe().expect("this program"))
         .args(["holds_a_process_until_hangup", "--nocapture"])
-        .env(HOLD, "1")
+        .env(HOLD_VARIABLE, "1")
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
@@ -48,7 +48,7 @@
         .lines()
         .map_while(std::result::Result::ok)
         .find_map(|line| {
-            let (_, id) = line.split_once(STARTED)?;
+            let (_, id) = line.split_once(STARTED_PREFIX)?;
             id.trim().parse::<u32>().ok()
         });
     let id = started.expect("a process was started");
@@ -58,7 +58,7 @@
         .status();
     assert!(
         sent.is_ok_and(|status| status.success()),
-        "the signal is not sent"
+        "the signal was not sent"
     );
     soak.wait().expect("it exits");
     let signalled_at = Instant::now();
--- a/crates/coursestand-daemon/tests/soak/main.rs
+++ b/crates/coursestand-daemon/tests/soak/main.rs
@@ -54,7 +54,7 @@
 const DEFAULT_SEEDS: [u64; 2] = [1, 2];
 /// Seeds that failed once; each has a line in `docs/FINDINGS.md`.
 const REGRESSION_SEEDS: [u64; 1] = [150];
-/// Number of requests in a back end's script; it answers later ones properly.
+/// Number of requests in a back end's script; it answers all later requests with 200.
 const SCRIPT_LENGTH: usize = 400;
 /// Statuses which guarantee that the request was not run and will not be run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
@@ -264,8 +264,8 @@
     let caller_tasks: Vec<_> = (0..CALLERS)
         .map(|caller| tokio::spawn(call(Arc::clone(&log), fronts.clone(), caller, pause)))
         .collect();
-    let began = Instant::now();
-    let end = began + Duration::from_secs(seconds);
+    let started_at = Instant::now();
+    let end = started_at + Duration::from_secs(seconds);
     let mut faults = Faults::new(random);
     while Instant::now() < end {
         faults.next(system).await?;
@@ -274,9 +274,9 @@
     let served = wait_for_service(system, &log, "after the faults").await;
     log.close();
     for task in caller_tasks {
-        task.await.expect("a caller ends");
+        task.await.expect("no panic in the callers");
     }
-    heartbeat_task.await.expect("the heartbeats end");
+    heartbeat_task.await.expect("no panic in the heartbeats");
     check_processes(system)?;
     served?;
     for (route, version) in &system.acknowledged {
@@ -291,7 +291,7 @@
     check_repeats(&log.requests(), &system.backends, &system.shape)?;
     if system.shape.has_rate_limit {
         rate_limit::check(
-            began,
+            started_at,
             &system.backends[system.shape.backends_with_link_faults()],
         )?;
     }
@@ -304,12 +304,12 @@
     backends: &[ScriptedBackend],
     shape: &Shape,
 ) -> std::result::Result<(), String> {
-    let arrived: Vec<Arrival> = backends
+    let arrivals: Vec<Arrival> = backends
         .iter()
         .flat_map(ScriptedBackend::recorded_arrivals)
         .collect();
     let sent_at: Vec<Instant> = requests.iter().filter_map(|request| request.at).collect();
-    let worst = worst_window(shape.repeat_bound(), &arrived, &sent_at);
+    let worst = worst_window(shape.repeat_bound(), &arrivals, &sent_at);
     if worst.exceeds_bound() {
         return Err(format!("too many repeats in a window: {worst:?}"));
     }
@@ -342,8 +342,8 @@
         }
     }
     for request in requests.iter().filter(|request| request.status == 200) {
-        let has_own_id = request.echoed.as_deref() == Some(&request.id);
-        if !has_own_id || request.body != format!("body of {}", request.id) {
+        let is_id_echoed = request.echoed.as_deref() == Some(&request.id);
+        if !is_id_echoed || request.body != format!("body of {}", request.id) {
             return Err(format!("{request:?} is not the answer to its request"));
         }
     }
--- a/crates/coursestand-daemon/tests/soak/processes.rs
+++ b/crates/coursestand-daemon/tests/soak/processes.rs
@@ -20,8 +20,8 @@
     override_path.map_or_else(|| env!("CARGO_BIN_EXE_coursestandd").into(), PathBuf::from)
 }
 
-/// Returns the settings as JSON without unset fields, some of which earlier versions don't
-/// know.
+/// Returns the settings as JSON without unset fields, some of which earlier versions
+/// reject.
 fn settings_json(settings: &FleetSettings) -> String {
     let mut value = serde_json::to_value(settings).expect("JSON");
     let fields = value.as_object_mut().expect("an object");
@@ -57,7 +57,7 @@
     RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Kills all processes when this process gets a signal to end, since no destructors run then,
+/// Kills all processes when this process gets a termination signal, since no destructors run then,
 /// and exits.
 fn kill_all_on_signal() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -128,7 +128,10 @@
 
     /// Returns the process id of a host's daemon.
     pub fn id(&self, host: u8) -> u32 {
-        self.children.get(&host).expect("it was started").id()
+        self.children
+            .get(&host)
+            .expect("the process was started")
+            .id()
     }
 
     /// Whether the process of this host has run long enough to handle signals: before its
@@ -144,7 +147,7 @@
             let status = Command::new("kill").arg(signal.name()).arg(id).status();
             assert!(
                 status.is_ok_and(|status| status.success()),
-                "the signal is not sent"
+                "the signal was not sent"
             );
         }
     }
@@ -159,9 +162,12 @@
         }
     }
 
-    /// Whether a process that received a signal to end has exited.
+    /// Whether a process that received a termination signal has exited.
     pub fn has_exited(&mut self, host: u8) -> bool {
-        let child = self.children.get_mut(&host).expect("it was started");
+        let child = self
+            .children
+            .get_mut(&host)
+            .expect("the process was started");
         let has_exited = child.try_wait().expect("a status").is_some();
         if has_exited && let Some(child) = self.children.remove(&host) {
             running().remove(&child.id());
--- a/crates/coursestand-daemon/tests/soak/rate_limit.rs
+++ b/crates/coursestand-daemon/tests/soak/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A back end that announces a rate limit with each proper answer, and the check of the
+//! A back end that announces a rate limit with each complete answer, and the check of the
 //! requests that it receives.
 
 use std::time::{Duration, Instant};
@@ -6,15 +6,15 @@
 use coursestand_lab::rate_limits::{RateBound, exceeded};
 use coursestand_lab::scripted::{Behaviour, ScriptedBackend};
 
-/// Its proper answer.
+/// Complete answer with the rate limit.
 pub const RATE_LIMITED_ANSWER: Behaviour = Behaviour::AnswerWithHeaders(200, "x-rate-limit: 1\r\n");
-/// Holds under all faults.
+/// Bound that holds under all faults.
 const BOUND: RateBound = RateBound {
     per_second: 1.0,
     factor: 1.5,
     slack: 5.0,
 };
-/// Time within which every daemon learns of the rate limit.
+/// Time within which every daemon receives the rate limit.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 const WINDOWS: [Duration; 3] = [
     Duration::from_secs(1),
@@ -35,15 +35,15 @@
 }
 
 /// Checks that the back end received no more requests in any window than its limit allows.
-pub fn check(began: Instant, backend: &ScriptedBackend) -> Result<(), String> {
-    let arrived = backend
+pub fn check(started_at: Instant, backend: &ScriptedBackend) -> Result<(), String> {
+    let arrivals = backend
         .recorded_arrivals()
         .into_iter()
         .map(|arrival| arrival.at);
-    let arrived: Vec<Instant> = arrived
-        .filter(|at| *at >= began + PROPAGATION_TIME)
+    let arrivals: Vec<Instant> = arrivals
+        .filter(|at| *at >= started_at + PROPAGATION_TIME)
         .collect();
-    let violations = exceeded(BOUND, &WINDOWS, &arrived);
+    let violations = exceeded(BOUND, &WINDOWS, &arrivals);
     if violations.is_empty() {
         return Ok(());
     }
--- a/crates/coursestand-daemon/tests/soak/relay.rs
+++ b/crates/coursestand-daemon/tests/soak/relay.rs
@@ -68,12 +68,12 @@
     tokio::select! {
         // A reset of one side resets the other.
         _ = async { tokio::try_join!(requests, answers) } => {}
-        // The sender lives as long as the relay.
+        // Also completes if the relay was dropped.
         _ = resetting.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
-/// Copies one direction. `silenced` stops it, as `LinkFault::Silent` does.
+/// Copies data in one direction. Pauses while the fault is `silenced` or `LinkFault::Silent`.
 async fn copy(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
@@ -91,7 +91,7 @@
             tokio::time::sleep(delay).await;
         }
         let forwards = |fault: &LinkFault| *fault != LinkFault::Silent && *fault != silenced;
-        // The sender lives as long as the relay.
+        // Fails if the relay was dropped.
         let _ = fault.wait_for(forwards).await;
         to.write_all(&chunk[..count]).await?;
     }
--- a/crates/coursestand-daemon/tests/soak/shape.rs
+++ b/crates/coursestand-daemon/tests/soak/shape.rs
@@ -13,7 +13,7 @@
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// Sum of the weights of the faults in the baseline shape.
 const BASELINE_FAULT_WEIGHT: u32 = 10;
-/// The same with kills of all entry daemons and suspended back ends.
+/// Sum of the weights with kills of all entry daemons and suspended back ends added.
 const TOTAL_FAULT_WEIGHT: u32 = 13;
 
 /// The shape of a deployment.
@@ -25,7 +25,7 @@
     /// Constant part of the retry bound.
     pub retry_extra: f64,
     pub has_all_faults: bool,
-    /// Whether the last back end announces a rate limit with each proper answer.
+    /// Whether the last back end announces a rate limit with each complete answer.
     pub has_rate_limit: bool,
 }
 
--- a/crates/coursestand-daemon/tests/tenure.rs
+++ b/crates/coursestand-daemon/tests/tenure.rs
@@ -1,5 +1,5 @@
-//! The leader's state of daemons with a pending long poll: progress and phase count from the
-//! arrival of the poll, and a lease only from its answer.
+//! The leader's state of daemons with a pending long poll: their progress and phase take effect
+//! when the poll arrives, a lease only when the poll is answered.
 #![allow(missing_docs)]
 
 use coursestand_coordination::Tables;
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn a_pending_poll_counts_from_its_arrival() {
+fn a_pending_poll_takes_effect_on_arrival() {
     let mut tenure = answered_once();
     expect_that!(tenure.registry.confirmed_by_all(NOW, 9), eq(Some(4)));
     tenure.record_poll(&request(MemberPhase::Leaving, 9));
