--- a/crates/coursestand-lab/benches/gateway.rs
+++ b/crates/coursestand-lab/benches/gateway.rs
@@ -95,8 +95,9 @@
     let started_at = Instant::now();
     let mut tasks = Vec::new();
     for number in 0..REQUESTS_PER_SECOND * GATEWAY_DURATION.as_secs() {
-        let planned = started_at + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_SECOND);
-        tokio::time::sleep_until(planned.into()).await;
+        let planned_start =
+            started_at + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_SECOND);
+        tokio::time::sleep_until(planned_start.into()).await;
         let client = client.clone();
         let url = url.to_owned();
         tasks.push(tokio::spawn(async move {
@@ -112,7 +113,7 @@
                 Ok(answer) => answer.bytes().await.is_ok(),
                 Err(_) => false,
             };
-            (planned.elapsed().as_micros() as u64, is_complete)
+            (planned_start.elapsed().as_micros() as u64, is_complete)
         }));
     }
     let mut histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
--- a/crates/coursestand-lab/src/callers.rs
+++ b/crates/coursestand-lab/src/callers.rs
@@ -134,9 +134,9 @@
         None
     }
 
-    /// Sends a request, with retries, whose planned start is `planned`.
-    pub async fn run(&self, request: CallerRequest, planned: Instant) -> FinishedRequest {
-        let deadline = planned + request.timeout;
+    /// Sends a request, with retries. Its timeout runs from `planned_start`.
+    pub async fn run(&self, request: CallerRequest, planned_start: Instant) -> FinishedRequest {
+        let deadline = planned_start + request.timeout;
         let mut not_run_attempts = 0;
         let mut any_unknown = false;
         let mut outcome = RequestOutcome::NotRun;
@@ -164,7 +164,7 @@
             outcome,
             not_run_attempts,
             any_unknown,
-            elapsed: planned.elapsed(),
+            elapsed: planned_start.elapsed(),
         }
     }
 
@@ -266,7 +266,7 @@
         Some(Outcome::Completed) => {
             let body = tokio::time::timeout(remaining, answer.bytes()).await;
             let Ok(Ok(body)) = body else {
-                // The answer was truncated or late, and the caller noticed it.
+                // The caller detected a truncated or late answer.
                 return AttemptResult::unknown();
             };
             AttemptResult {
--- a/crates/coursestand-lab/src/demo.rs
+++ b/crates/coursestand-lab/src/demo.rs
@@ -184,12 +184,12 @@
 
 /// Runs a deployment under load and returns the figures of the run.
 pub async fn run_demo(
-    make: fn(&mut AddressAllocator) -> Deployment,
+    construct: fn(&mut AddressAllocator) -> Deployment,
     folder: &Path,
     plan: &LoadPlan,
 ) -> Result<Figures, DemoError> {
     let mut addresses = AddressAllocator::reserve().context(AddressSnafu)?;
-    let deployment = make(&mut addresses);
+    let deployment = construct(&mut addresses);
     let settings = deployment.daemon_settings(&mut addresses, folder);
     let simulation = Simulation::start(deployment).await?;
     let mut daemons = Vec::new();
--- a/crates/coursestand-lab/src/load.rs
+++ b/crates/coursestand-lab/src/load.rs
@@ -17,7 +17,7 @@
 /// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Period in which requests are started.
     pub duration: Duration,
@@ -45,18 +45,18 @@
 ) -> Vec<FinishedRequest> {
     let mut random = StdRng::seed_from_u64(plan.seed);
     let (sender, mut receiver) = mpsc::unbounded_channel();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let total = (plan.rate * plan.duration.as_secs_f64()) as usize;
     let mut finished = Vec::with_capacity(total);
     for number in 0..total {
-        let planned = began + Duration::from_secs_f64(number as f64 / plan.rate);
-        tokio::time::sleep_until(planned.into()).await;
+        let planned_start = started_at + Duration::from_secs_f64(number as f64 / plan.rate);
+        tokio::time::sleep_until(planned_start.into()).await;
         let request = next_request(deployment, plan, number, &mut random);
         let caller = Arc::clone(&caller);
         let sender = sender.clone();
         tokio::spawn(async move {
             // The receiver outlives all senders.
-            let _ = sender.send(caller.run(request, planned).await);
+            let _ = sender.send(caller.run(request, planned_start).await);
         });
         while let Ok(request) = receiver.try_recv() {
             finished.push(request);
--- a/crates/coursestand-lab/src/rate_limits.rs
+++ b/crates/coursestand-lab/src/rate_limits.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns the fullest of all windows of this length, whatever their start.
+/// Returns the fullest window of this length over all start times.
 pub fn fullest_window(bound: RateBound, length: Duration, arrivals: &[Instant]) -> FullestWindow {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort();
--- a/crates/coursestand-lab/src/repeats.rs
+++ b/crates/coursestand-lab/src/repeats.rs
@@ -1,10 +1,10 @@
 //! Checks the bound on repeats against the records of callers and back ends.
 //!
 //! A repeat is an arrival of a request at any back end after its first arrival. In every
-//! window, whatever its start, a service may receive at most `ratio` repeats per request
-//! plus `extra`. Requests count by the time at which their callers sent them. The requests
-//! of a window are the maximum over the window itself, the previous window and the window
-//! that begins half a window earlier.
+//! window, at any start time, a service may receive at most `ratio` repeats per request plus
+//! `extra`. Requests count by the time at which their callers sent them. The request count of
+//! a window is the maximum of the counts in the window itself, the previous window and the
+//! window that begins half a window earlier.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
--- a/crates/coursestand-lab/src/scripted.rs
+++ b/crates/coursestand-lab/src/scripted.rs
@@ -194,7 +194,7 @@
     /// was unanswered.
     pub async fn wait_for_abandoned(&self, count: usize) {
         let mut abandoned = self.abandoned.clone();
-        // The sender lives as long as the back end.
+        // Fails if the back end has crashed, which drops the sender.
         let _ = abandoned.wait_for(|abandoned| *abandoned >= count).await;
     }
 }
@@ -263,13 +263,13 @@
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
-        if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&bytes[..end]).into_owned();
             return Ok(Some(parse_head(&text, bytes[end + 4..].to_vec())));
         }
         if bytes.is_empty() {
             stream.readable().await?;
-            // The sender lives as long as the back end.
+            // Fails if the back end was dropped.
             let _ = suspended.wait_for(|suspended| !suspended).await;
         }
         let count = stream.read(&mut buffer).await?;
@@ -334,7 +334,7 @@
 /// Returns the data of a complete chunked body.
 fn decode_chunks(mut bytes: &[u8]) -> Vec<u8> {
     let mut data = Vec::new();
-    while let Some(end) = bytes.windows(2).position(|two| two == b"\r\n") {
+    while let Some(end) = bytes.windows(2).position(|window| window == b"\r\n") {
         let size = std::str::from_utf8(&bytes[..end]).unwrap_or_default();
         let size = usize::from_str_radix(size, 16).unwrap_or(0);
         let start = end + 2;
@@ -517,7 +517,7 @@
     Ok(())
 }
 
-/// Waits for `pause`. Returns false if the caller closes the connection before.
+/// Waits for `pause`. Returns false if the caller closes the connection earlier.
 async fn stays_open_for(stream: &mut TcpStream, pause: Duration) -> bool {
     let mut buffer = [0; 1];
     let read = tokio::time::timeout(pause, stream.read(&mut buffer)).await;
--- a/crates/coursestand-lab/tests/repeats.rs
+++ b/crates/coursestand-lab/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! The check of the bound on repeats detects windows that exceed it, whatever their start.
+//! The check of the bound on repeats detects windows that exceed it, at any start time.
 #![allow(missing_docs)]
 
 use std::time::{Duration, Instant};
