--- a/crates/coursestand-cli/src/commands/demo.rs
+++ b/crates/coursestand-cli/src/commands/demo.rs
@@ -69,10 +69,10 @@
 
 /// Runs a complete deployment in this process.
 pub async fn run(options: DemoOptions) -> Result<(), ToolError> {
-    let make = deployment_by_name(&options.deployment)?;
+    let construct = deployment_by_name(&options.deployment)?;
     let plan = load_plan("demo", options.seconds, options.rate, 1)?;
     let folder = std::env::temp_dir().join(format!("coursestand-demo-{}", std::process::id()));
-    let figures = run_demo(make, &folder, &plan).await;
+    let figures = run_demo(construct, &folder, &plan).await;
     remove_folder(&folder);
     print_figures(&figures.context(DemoSnafu)?, options.json)
 }
--- a/crates/coursestand-cli/src/commands/explain.rs
+++ b/crates/coursestand-cli/src/commands/explain.rs
@@ -81,7 +81,7 @@
     state_changes: Vec<Line>,
 }
 
-/// Beginnings of the messages that report a state change.
+/// Prefixes of the messages that report a state change.
 const STATE_CHANGES: [&str; 8] = [
     "a back end changed",
     "an entry daemon changed",
--- a/crates/coursestand-cli/src/commands/lab.rs
+++ b/crates/coursestand-cli/src/commands/lab.rs
@@ -26,7 +26,7 @@
 pub async fn run(options: LabOptions) -> Result<(), ToolError> {
     match options.command {
         Some(LabCommand::Prepare(options)) => prepare(&options),
-        Some(LabCommand::World(options)) => world(&options).await,
+        Some(LabCommand::World(options)) => run_simulation(&options).await,
         Some(LabCommand::Load(options)) => generate_load(options).await,
         Some(LabCommand::Scale(options)) => scale::run(options).await,
         None => usage_error("lab needs a command: prepare, world, load, scale"),
@@ -52,14 +52,14 @@
     std::fs::write(path, text).context(FileSnafu { path })
 }
 
-/// Runs the emulated back ends until SIGTERM or SIGINT.
-async fn world(options: &WorldOptions) -> Result<(), ToolError> {
+/// Runs the emulated back ends and the platform list until SIGTERM or SIGINT.
+async fn run_simulation(options: &WorldOptions) -> Result<(), ToolError> {
     let deployment: Deployment = load(&options.deployment).context(LoadSnafu)?;
-    let world = Simulation::start(deployment).await.context(DemoSnafu)?;
+    let simulation = Simulation::start(deployment).await.context(DemoSnafu)?;
     println!(
         "{} back ends; platform list at {}",
-        world.backends.len(),
-        world.platform.url()
+        simulation.backends.len(),
+        simulation.platform.url()
     );
     let path = &options.deployment;
     let mut terminate = signal(SignalKind::terminate()).context(FileSnafu { path })?;
